--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -294,14 +294,11 @@
     Request& r = request->second;
     const auto number = static_cast<std::uint32_t>(r.attempts.size());
     const auto server = servers_.find(send.server);
-    const Millis now = clock_.now();
-    const Millis until = send.try_until > 0 ? std::min(send.try_until, r.deadline) : r.deadline;
-    const Millis begin_by = send.begin_by > 0 ? std::min(send.begin_by, until) : until;
-    r.attempts.push_back({0, send.server, now, true});
+    const Millis until = waits_until(send, r);
+    r.attempts.push_back({0, send.server, clock_.now(), true});
     ++r.out;
     if (server != servers_.end()) ++server->second.out;
-    if (!may_begin(send.id, send.server, begin_by) || (r.body && !r.body->kept()))
-        return ended(send.id, number, Outcome::superseded, {});
+    if (r.body && !r.body->kept()) return ended(send.id, number, Outcome::superseded, {});
 
     const Front::Message& from = *r.message;
     Upstream::Request to;
@@ -310,12 +307,9 @@
     to.message.version(11);
     copy_end_to_end(to.message, from);
     to.message.set(http::field::host, from[http::field::host]);
-    const Millis waits = r.whole_at > 0 ? until - now : r.time_left;
-    to.message.set("Request-Timeout-Ms", decimal(std::max(1.0, std::floor(waits)), "%.0f"));
+    to.may_begin = [this, send](Upstream::Message& head) { return may_begin(send, head); };
+    if (!to.may_begin(to.message)) return ended(send.id, number, Outcome::superseded, {});
     if ((to.body = r.body)) r.body->rewind();
-    to.may_begin = [this, id = send.id, server = send.server, begin_by] {
-        return may_begin(id, server, begin_by);
-    };
     r.attempts[number].exchange = upstream_.start(
         send.server, std::move(to),
         [this, id = send.id, number](Outcome outcome, Upstream::Response response) {
@@ -330,14 +324,27 @@
     if (until < kNever) due(until, AttemptLimit{send.id, number});
 }
 
+// The end of what an attempt is given, on the sidecar's clock.
+Millis Sidecar::waits_until(const Send& send, const Request& request) const {
+    return send.try_until > 0 ? std::min(send.try_until, request.deadline) : request.deadline;
+}
+
 // Right before a first byte goes out: at the choice, and once more when a connection has come up. Whoever has
 // left by then is not served, a server that leaves gets nothing new, and what comes too late is not issued.
-bool Sidecar::may_begin(RequestId id, ServerId server, Millis begin_by) {
-    const auto request = requests_.find(id);
-    const auto at = servers_.find(server);
-    if (request == requests_.end() || request->second.ended || at == servers_.end()) return false;
-    if (front_->left(id)) return gone(id), false;
-    return at->second.listed && !at->second.leaving && clock_.now() < begin_by;
+// The head tells what is left by the same reading of the clock, in whole milliseconds, rounded down. The time
+// of a body that is still coming counts from its last byte: all of it is left.
+bool Sidecar::may_begin(const Send& send, Upstream::Message& head) {
+    const auto request = requests_.find(send.id);
+    const auto server = servers_.find(send.server);
+    if (request == requests_.end() || request->second.ended || server == servers_.end()) return false;
+    if (front_->left(send.id)) return gone(send.id), false;
+    if (!server->second.listed || server->second.leaving) return false;
+    const Millis now = clock_.now();
+    const Request& r = request->second;
+    const Millis left = std::floor(std::min(r.time_left, waits_until(send, r) - now));
+    if (left < 1 || (send.begin_by > 0 && now >= send.begin_by)) return false;
+    head.set("Request-Timeout-Ms", decimal(left, "%.0f"));
+    return true;
 }
 
 void Sidecar::carry_out(const Cancel& cancel) {
--- a/src/node/sidecar.hpp
+++ b/src/node/sidecar.hpp
@@ -106,7 +106,8 @@
 
     void arrived(Front::Arrival arrival);
     void gone(RequestId id);
-    bool may_begin(RequestId id, ServerId server, Millis begin_by);
+    bool may_begin(const Send& send, Upstream::Message& head);
+    Millis waits_until(const Send& send, const Request& request) const;
     void run_out(RequestId id, std::uint32_t attempt);
     void whole(RequestId id);
     void begun(RequestId id, std::uint32_t attempt, Front::Head head, std::shared_ptr<Pipe> body);
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -79,7 +79,7 @@
             self->wait_readable();
             // Much may have come between the choice and now.
             const auto request = self->exchange_->request;
-            if (!request->may_begin || request->may_begin()) return self->write();
+            if (!request->may_begin || request->may_begin(request->message)) return self->write();
             if (self->exchange_) self->end(true, Outcome::superseded, {});
         });
     }
--- a/src/node/upstream.hpp
+++ b/src/node/upstream.hpp
@@ -20,13 +20,14 @@
 
 class Upstream {
 public:
+    using Message = boost::beast::http::request<boost::beast::http::span_body<const char>>;
     struct Request {
-        boost::beast::http::request<boost::beast::http::span_body<const char>> message;  // its head
+        Message message;             // its head
         std::shared_ptr<Pipe> body;  // none: it has none; else from its start, and perhaps yet to come
         bool attempt = true;         // not a probe
-        // Asked when its connection has come up, right before its first byte; false: it is not issued after
-        // all. None: it always is.
-        std::function<bool()> may_begin = nullptr;
+        // Asked when its connection has come up, right before its first byte: completes the head by what is
+        // known only then. False: it is not issued after all. None: it always is, as it stands.
+        std::function<bool(Message&)> may_begin = nullptr;
     };
     using Response = boost::beast::http::response<boost::beast::http::string_body>;
     using Head = boost::beast::http::response<boost::beast::http::empty_body>;
--- /dev/null
+++ b/tests/deadline_test.cpp
@@ -0,0 +1,79 @@
+// What time an attempt tells its server that is left.
+#include "held_server.hpp"
+
+namespace mothring::node::test {
+namespace {
+
+using Steady = std::chrono::steady_clock;
+
+// By how much what a server is told may be over what is left to the client (the terms).
+constexpr Millis kSlack = 150;
+
+Millis since(Steady::time_point began) { return millis(Steady::now() - began); }
+
+struct Deadline : NetRig {
+    // Connections may come up late.
+    void start_patient(const std::vector<Listed>& known) {
+        const std::string text = config_json(agent.address(), list_json(41, true, known));
+        sidecar.emplace(
+            io, read_config(replaced(text, "\"connect-timeout-ms\":150.0", "\"connect-timeout-ms\":5000.0")));
+    }
+    // What the first message in these bytes tells; none yet: -1.
+    static Millis told(const std::string& bytes) {
+        const std::string name = "Request-Timeout-Ms: ";
+        const auto at = bytes.find(name);
+        return at == std::string::npos ? -1 : std::stod(bytes.substr(at + name.size(), 8));
+    }
+    static Millis told(const ScriptedServer::Request& request) {
+        return std::stod(std::string(request["Request-Timeout-Ms"]));
+    }
+    // Of a request with that timeout, sent whole then, whose first byte has come to the server just now.
+    static void expect_within(Millis told, Millis timeout, Steady::time_point sent) {
+        EXPECT_GE(told, 1);
+        EXPECT_LE(told, timeout - since(sent) + kSlack);
+    }
+    void expect_late_and_within(HeldServer& held, Millis timeout, Steady::time_point sent) {
+        held.let_go();
+        until([&] { return told(held.in) >= 0; });
+        EXPECT_GT(since(sent), 2 * kSlack) << "its connection came up late";
+        expect_within(told(held.in), timeout, sent);
+    }
+};
+
+TEST_F(Deadline, AFirstAttemptTellsWhatIsLeftWhenItsConnectionHasComeUp) {
+    HeldServer held(io);
+    start_patient({{"s-held", held.address()}});
+    const auto sent = Steady::now();
+    client().send(request("deposit", "id-1", 5000, "a body"));
+    until([&] { return sidecar->records() == 1; });
+    expect_late_and_within(held, 5000, sent);
+}
+
+TEST_F(Deadline, ARetryTellsWhatIsLeftWhenItsConnectionHasComeUp) {
+    HeldServer held(io);
+    a.script = silence;
+    start_patient({{"s-a", a.address()}});
+    until([&] { return watched_from("41"); });
+    const auto sent = Steady::now();
+    client().send(request("listen", "id-1"));
+    until([&] { return a.requests.size() == 1; });
+    tell(list_json(42, false, {{"s-held", held.address()}}));
+    until([&] { return watched_from("42"); });
+    a.send(0, response("503 Full", "", "Not-Started: 1\r\n"));
+    for (int i = 0; i < 2; ++i) ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+    expect_late_and_within(held, 5000, sent);
+}
+
+// What is under a millisecond can't be told.
+TEST_F(Deadline, NothingBeginsWithLessThanAMillisecondLeft) {
+    start_with_a();
+    ask(request("listen", "id-warm"));
+    for (int i = 0; i < 20; ++i) {
+        const auto answer = ask(request("listen", "id-" + std::to_string(i), 1));
+        EXPECT_GE(answer.result_int(), 500u);
+    }
+    EXPECT_EQ(a.requests.size(), 1u);
+}
+
+}  // namespace
+}  // namespace mothring::node::test
--- /dev/null
+++ b/tests/held_server.hpp
@@ -0,0 +1,71 @@
+// A server whose connections come up late, at a moment that the test chooses.
+#pragma once
+
+#include <algorithm>
+#include <array>
+#include <list>
+#include <string>
+#include <vector>
+
+#include "net_rig.hpp"
+
+namespace mothring::node::test {
+
+// A server whose connections do not come up until it lets go: its queue is full, so that the kernel drops
+// what asks for one, which then asks again.
+class HeldServer {
+public:
+    explicit HeldServer(asio::io_context& io) : acceptor_(io, Tcp::v4()) {
+        acceptor_.bind(any_port);
+        acceptor_.listen(0);
+        acceptor_.non_blocking(true);
+        for (int i = 0; i < 4; ++i) {  // one more than it holds, and those that wait for room in vain
+            filling_.emplace_back(io, Tcp::v4());
+            filling_.back().async_connect(acceptor_.local_endpoint(), [](error_code) {});
+        }
+    }
+    std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
+    // Its queue is emptied, and whoever comes from now on is taken and read from.
+    void let_go() {
+        for (Tcp::socket& s : filling_) ports_.push_back(port_of(s));
+        accept();
+    }
+    // What came on connections that are not its own.
+    std::string in;
+    std::size_t came = 0, ended = 0;
+
+private:
+    static std::uint16_t port_of(const Tcp::socket& socket) {
+        error_code none;
+        return socket.local_endpoint(none).port();
+    }
+    void accept() {
+        acceptor_.async_accept([this](error_code failed, Tcp::socket socket) {
+            if (failed) return;
+            error_code gone;
+            const auto from = socket.remote_endpoint(gone).port();
+            if (std::find(ports_.begin(), ports_.end(), from) == ports_.end()) {
+                ++came;
+                taken_.emplace_back(std::move(socket));
+                read(taken_.back());
+            }
+            accept();
+        });
+    }
+    void read(Tcp::socket& socket) {
+        socket.async_read_some(asio::buffer(piece_), [this, &socket](error_code failed, std::size_t count) {
+            if (failed == asio::error::operation_aborted) return;
+            if (failed) return void(++ended);
+            in.append(piece_.data(), count);
+            error_code ignored;
+            asio::write(socket, asio::buffer(response("200 OK", "held")), ignored);
+            read(socket);
+        });
+    }
+    Tcp::acceptor acceptor_;
+    std::list<Tcp::socket> filling_, taken_;
+    std::vector<std::uint16_t> ports_;
+    std::array<char, 4096> piece_{};
+};
+
+}  // namespace mothring::node::test
