--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -130,6 +130,8 @@
         return phase_ == Phase::head ? 2 : kNeeded;
     }
     Steady::time_point since() const { return since_; }
+    // For how long what was or will be read next may have stood here.
+    Millis unread_for() const { return unread_since_ ? millis(Steady::now() - *unread_since_) : 0; }
 
     // Makes room. One that has been served may not have read all of its last answer, which a reset would take
     // away; one that has not been is ended at once.
@@ -238,7 +240,9 @@
         socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
         if (error == asio::error::would_block)
             wait_readable();
-        else if (error && phase_ != Phase::answering)
+        else if (!error)
+            stands_unread();
+        else if (phase_ != Phase::answering)
             close();
     }
 
@@ -246,7 +250,7 @@
     void feed() {
         for (int turns = 0;; ++turns) {
             if (!owner_ || (phase_ != Phase::idle && phase_ != Phase::head && !receiving())) return;
-            if (receiving() && body_->room() == 0) return no_limit();  // our delay: on_room goes on
+            if (receiving() && body_->room() == 0) return stalled();
             if (buffer_.size() > 0) {
                 if (!parse()) return;
                 continue;
@@ -266,6 +270,7 @@
         const std::size_t count = socket_.read_some(buffer_.prepare(size), error);
         if (error == asio::error::would_block) {
             if (phase_ == Phase::idle) buffer_.shrink_to_fit();
+            unread_since_.reset();
             wait_readable();
             return false;
         }
@@ -391,14 +396,20 @@
         if (phase_ == Phase::body) return arrive();
         if (phase_ != Phase::waiting) return;
         owner_->callbacks_.whole(id_);
-        if (owner_ && phase_ == Phase::waiting && buffer_.size() == 0) wait_readable();
+        if (!owner_ || phase_ != Phase::waiting) return;
+        next_unread();
+        if (buffer_.size() == 0) wait_readable();
     }
 
     // To the sidecar: with its body whole, or as much of it as there is room for.
     void arrive() {
         auto arrival = read_arrival(*message_);
         first_by_.reset();
-        if (!receiving()) no_limit();
+        if (!receiving()) {
+            no_limit();
+            arrival->time_left = std::max(0.0, arrival->time_left - unread_for());
+            next_unread();
+        }
         arrival->id = id_ = owner_->next_request_++;
         arrival->message = message_;
         arrival->body = body_ && body_->whole() && body_->total() == 0 ? nullptr : body_;
@@ -408,6 +419,28 @@
         owner_->callbacks_.arrived(std::move(*arrival));
     }
 
+    // The time of a request counts from its last byte. When that came is not known of what stood unread, in
+    // our buffer or the kernel's: at the earliest when we stopped to read, or saw the first of it.
+    void stands_unread() {
+        if (!unread_since_) unread_since_ = Steady::now();
+    }
+    // No room for the rest of a body: our delay, and on_room goes on. While its last byte is yet to come the
+    // time counts from now at the earliest.
+    void stalled() {
+        error_code ignored;
+        const std::uint64_t here = body_->total() + buffer_.size() + socket_.available(ignored);
+        if (!body_->length || here < *body_->length) unread_since_.reset();
+        stands_unread();
+        no_limit();
+    }
+    // One request is here whole: whatever else is here is of the next one.
+    void next_unread() {
+        if (buffer_.size() > 0)
+            stands_unread();
+        else if (unread_since_ && quiet())
+            unread_since_.reset();
+    }
+
     // A small request may take its time whatever its pieces; a larger body has to come on after that, without
     // a long pause and at half the slowest writer's pace on the whole.
     void body_timer() {
@@ -445,6 +478,7 @@
         if (!stays || unread) return finish(kLongestLinger);
         phase_ = Phase::idle;
         since_ = Steady::now();
+        next_unread();
         owner_->rested();
         if (buffer_.size() > 0) return feed();
         buffer_.shrink_to_fit();
@@ -536,7 +570,8 @@
     unsigned version_ = 11;
     std::uint64_t received_ = 0;
     Steady::time_point since_, began_, body_began_, due_, finish_by_;
-    std::optional<Steady::time_point> first_by_;  // none: it has sent a request
+    std::optional<Steady::time_point> first_by_;      // none: it has sent a request
+    std::optional<Steady::time_point> unread_since_;  // none: what comes is read as it comes
     bool keep_ = true, stays_ = true, waiting_ = false, writing_ = false, ending_ = false,
          until_close_ = false;
 };
@@ -647,6 +682,11 @@
     return true;
 }
 
+Millis Front::unread_for(RequestId request) const {
+    const auto at = held_.find(request);
+    return at == held_.end() ? 0 : at->second->unread_for();
+}
+
 void Front::answer(RequestId request, Answer answer) {
     const auto at = held_.find(request);
     if (at == held_.end()) return;
--- a/src/node/front.hpp
+++ b/src/node/front.hpp
@@ -28,7 +28,7 @@
         std::shared_ptr<Pipe> body;              // none: it has none; may be yet to come
         std::string class_name;
         std::string tenant;
-        Millis time_left = 0;
+        Millis time_left = 0;  // less what a whole one has waited here, behind another
         Millis effort = 0;
         bool repeat = false;
     };
@@ -50,6 +50,9 @@
     // Whether the client of a request that waits for its answer has closed its connection, also where that
     // stands behind bytes that are not read yet. It is then ended, and told as gone, in a later turn.
     bool left(RequestId request);
+    // For how long bytes of a request that is still coming may have stood unread, as there was no room for
+    // them; 0: not at all.
+    Millis unread_for(RequestId request) const;
     // The final answer; the first one counts.
     void answer(RequestId request, Answer answer);
     // The same for one whose body is passed on as it comes.
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -332,7 +332,7 @@
 // Right before a first byte goes out: at the choice, and once more when a connection has come up. Whoever has
 // left by then is not served, a server that leaves gets nothing new, and what comes too late is not issued.
 // The head tells what is left by the same reading of the clock, in whole milliseconds, rounded down. The time
-// of a body that is still coming counts from its last byte: all of it is left.
+// of a body that is still coming counts from its last byte, which may stand unread already.
 bool Sidecar::may_begin(const Send& send, Upstream::Message& head) {
     const auto request = requests_.find(send.id);
     const auto server = servers_.find(send.server);
@@ -341,7 +341,8 @@
     if (!server->second.listed || server->second.leaving) return false;
     const Millis now = clock_.now();
     const Request& r = request->second;
-    const Millis left = std::floor(std::min(r.time_left, waits_until(send, r) - now));
+    const Millis unread = r.whole_at > 0 ? 0 : front_->unread_for(send.id);
+    const Millis left = std::floor(std::min(r.time_left - unread, waits_until(send, r) - now));
     if (left < 1 || (send.begin_by > 0 && now >= send.begin_by)) return false;
     head.set("Request-Timeout-Ms", decimal(left, "%.0f"));
     return true;
@@ -416,7 +417,7 @@
     if (at == requests_.end() || at->second.ended) return;
     Request& r = at->second;
     r.whole_at = clock_.now();
-    r.time_left = within_drain(r.time_left);
+    r.time_left = within_drain(std::max(0.0, r.time_left - front_->unread_for(id)));
     r.deadline = r.whole_at + r.time_left;
     flights_[id].class_index = r.class_index;
     for (std::uint32_t number = 0; number < r.attempts.size(); ++number)
--- a/tests/deadline_test.cpp
+++ b/tests/deadline_test.cpp
@@ -75,5 +75,55 @@
     EXPECT_EQ(a.requests.size(), 1u);
 }
 
+// The rest of an upload lies in the kernel while there is no room for it: its time has begun all the same.
+TEST_F(Deadline, AnUploadTellsWhatIsLeftWhenItsRestHasWaitedForTheConnection) {
+    HeldServer held(io);
+    start_patient({{"s-held", held.address()}});
+    const auto sent = Steady::now();
+    client().send(request("deposit", "id-1", 5000, std::string(Pipe::kMost + 2000, 'x')));
+    until([&] { return sidecar->records() == 1; });
+    expect_late_and_within(held, 5000, sent);
+}
+
+// Sent at once with another, or while that one waits: read with it, or later.
+TEST_F(Deadline, ARequestThatWaitedBehindAnotherTellsWhatIsLeft) {
+    for (const bool at_once : {true, false}) {
+        sidecar.reset();
+        a.requests.clear(), a.connections.clear();
+        a.script = silence;
+        start_with_a();
+        TestClient& c = client();
+        const auto sent = Steady::now();
+        const std::string first = request("listen", "id-1"), second = request("listen", "id-2", 2000);
+        c.send(at_once ? first + second : first);
+        until([&] { return a.requests.size() == 1; });
+        if (!at_once) c.send(second);
+        until([&] { return since(sent) > 4 * kSlack; });
+        a.send(0, response("200 OK", "first"));
+        until([&] { return a.requests.size() == 2; });
+        expect_within(told(a.requests[1]), 2000, sent);
+    }
+}
+
+// What comes after another's answer has waited for nothing, whatever stood behind that one.
+TEST_F(Deadline, ARequestAfterAnothersAnswerTellsItsWholeTime) {
+    for (const std::string behind : {"", "\r\n", "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n"}) {
+        sidecar.reset();
+        a.requests.clear(), a.connections.clear();
+        a.script = silence;
+        start_with_a();
+        TestClient& c = client();
+        const auto began = Steady::now();
+        c.send(request("listen", "id-1") + behind);
+        until([&] { return a.requests.size() == 1; });
+        until([&] { return since(began) > 4 * kSlack; });
+        a.send(0, response("200 OK", "first"));
+        until([&] { return c.answers.size() == (behind.size() > 2 ? 2 : 1); });
+        c.send(request("listen", "id-2", 2000));
+        until([&] { return a.requests.size() == 2; });
+        EXPECT_GE(told(a.requests[1]), 2000 - kSlack) << behind;
+    }
+}
+
 }  // namespace
 }  // namespace mothring::node::test
