--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -309,6 +309,8 @@
         parser_->eager(!heading);
         const std::size_t used = parser_->put(buffer_.data(), error);
         buffer_.consume(used);
+        // The last byte of one that servers have in part lets it begin there: not for a client that has gone.
+        if (receiving() && phase_ == Phase::waiting && parser_->is_done() && left()) return close(), false;
         if (receiving() && part.size < room) {
             body_->added(room - part.size);
         }
--- a/tests/deadline_test.cpp
+++ b/tests/deadline_test.cpp
@@ -1,4 +1,4 @@
-// What time an attempt tells its server that is left.
+// What time an attempt tells its server that is left, and that none begins once its client has gone.
 #include "held_server.hpp"
 
 namespace mothring::node::test {
@@ -125,5 +125,128 @@
     }
 }
 
+// ---- Clients that have left ----
+
+struct Departure : Deadline {
+    // How a client leaves: with nothing behind its request, or with bytes before its end, which hide it from
+    // whoever looks at the bytes alone.
+    struct Way {
+        std::string early;
+        bool reset;
+    };
+    const std::vector<Way> ways{{"", false}, {"G", false}, {"", true}, {"G", true}};
+    static void leave(TestClient& c, const Way& way) { way.reset ? c.reset() : c.close(); }
+    void start_with(const std::vector<Listed>& known, bool may_cancel = true) {
+        std::string text = config_json(agent.address(), list_json(41, true, known));
+        // Requests that nobody may have are held for a sixteenth of that.
+        text = replaced(text, "\"on-time-ms\":400.0", "\"on-time-ms\":40000.0");
+        if (!may_cancel) text = replaced(text, "\"may-cancel\":true", "\"may-cancel\":false");
+        sidecar.reset();
+        a.requests.clear(), b.requests.clear(), agent.requests.clear();
+        a.connections.clear(), b.connections.clear(), agent.connections.clear();
+        sidecar.emplace(io, read_config(text));
+    }
+    void expect_nothing_left() {
+        until([&] { return sidecar->records() == 0 && sidecar->metrics().in_flight == 0; });
+        EXPECT_EQ(sidecar->held().requests, 0u);
+    }
+    // Until the sidecar has read all that has come by now.
+    void pass() {
+        for (int i = 0; i < 2; ++i) ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+    }
+};
+
+// Its end is there in the very turn in which its request is read; the connection to the server is idle.
+TEST_F(Departure, ARequestWithItsClientsEndBehindItIsNotBegun) {
+    for (const Way& way : ways) {
+        start_with({{"s-a", a.address()}});
+        ask(request("listen", "id-warm"));
+        let_rest(io);
+        TestClient& c = client();
+        pass();
+        c.send(request("listen", "id-1") + way.early);
+        leave(c, way);
+        pass();
+        expect_nothing_left();
+        EXPECT_EQ(a.requests.size(), 1u) << way.early << way.reset;
+    }
+}
+
+// Held, as nobody may have it, and released in the turn in which its client leaves: by a list.
+TEST_F(Departure, ARequestThatAListReleasesIsNotBegunAfterItsClientHasLeft) {
+    for (const Way& way : ways) {
+        start_with({{"s-a", a.address(), "Terminating"}});
+        until([&] { return watched_from("41"); });
+        TestClient& c = client();
+        c.send(request("listen", "id-1") + way.early);
+        until([&] { return sidecar->records() == 1; });
+        pass();
+        leave(c, way);
+        tell(list_json(42, false, {{"s-b", b.address()}}));
+        until([&] { return watched_from("42"); });
+        expect_nothing_left();
+        EXPECT_EQ(arrived(), 0u) << way.early << way.reset;
+        EXPECT_EQ(ask(request("listen", "id-2")).result_int(), 200u);
+    }
+}
+
+// Due as the first attempt fails, in the turn in which its client leaves.
+TEST_F(Departure, ARetryIsNotBegunAfterItsClientHasLeft) {
+    for (const Way& way : ways) {
+        a.script = b.script = silence;
+        start_with({{"s-a", a.address()}, {"s-b", b.address()}});
+        TestClient& c = client();
+        c.send(request("listen", "id-1") + way.early);
+        until([&] { return arrived() == 1; });
+        pass();
+        leave(c, way);
+        ScriptedServer& first = a.requests.empty() ? b : a;
+        first.send(first.connections.size() - 1, response("503 Full", "", "Not-Started: 1\r\n"));
+        expect_nothing_left();
+        pass();
+        EXPECT_EQ(arrived(), 1u) << way.early << way.reset;
+    }
+}
+
+// A hundred in one turn, each with a retry due in it.
+TEST_F(Departure, ABurstOfClientsThatLeaveWithTheirRetriesDueBeginsNothing) {
+    for (const Way& way : ways) {
+        a.script = b.script = silence;
+        start_with({{"s-a", a.address()}, {"s-b", b.address()}}, false);
+        std::vector<TestClient*> all;
+        for (int i = 0; i < 100; ++i) {
+            all.push_back(&client());
+            all.back()->send(request("listen", "id-" + std::to_string(i)) + way.early);
+        }
+        until([&] { return arrived() == 100; });
+        pass();
+        for (TestClient* c : all) leave(*c, way);
+        for (ScriptedServer* s : {&a, &b})
+            for (std::size_t i = 0; i < s->connections.size(); ++i)
+                s->send(i, response("503 Full", "", "Not-Started: 1\r\n"));
+        expect_nothing_left();
+        pass();
+        EXPECT_EQ(arrived(), 100u) << way.early << way.reset;
+    }
+}
+
+// Begun in part, as its body is still coming: it never comes to its end, also where settings forbid to
+// withdraw what a server may have begun to work on.
+TEST_F(Departure, AnUploadThatBeganIsNotFinishedAfterItsClientHasLeft) {
+    const std::string whole = request("deposit", "id-1", 5000, std::string(Pipe::kMost + 2000, 'x'));
+    for (const bool finished : {false, true}) {  // its last byte comes, right before its client's end
+        start_with({{"s-a", a.address()}}, false);
+        TestClient& c = client();
+        c.send(whole.substr(0, whole.size() - 10));
+        until([&] { return a.connections.size() == 1 && a.connections[0]->parser->is_header_done(); });
+        pass();
+        if (finished) c.send(whole.substr(whole.size() - 10));
+        c.close();
+        expect_nothing_left();
+        until([&] { return a.ended() == 1; });
+        EXPECT_EQ(a.requests.size(), 0u) << finished;
+    }
+}
+
 }  // namespace
 }  // namespace mothring::node::test
