--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -130,6 +130,8 @@
         return phase_ == Phase::head ? 2 : kNeeded;
     }
     Steady::time_point since() const { return since_; }
+    // For how long what was or will be read next may have stood here.
+    Millis unread_for() const { return unread_since_ ? millis(Steady::now() - *unread_since_) : 0; }
 
     // Makes room. One that has been served may not have read all of its last answer, which a reset would take
     // away; one that has not been is ended at once.
@@ -148,10 +150,11 @@
     }
 
     void last_call() {
+        if (called_) return;
         if (phase_ == Phase::idle || phase_ == Phase::head || receiving()) feed();
-        if (!owner_ || phase_ == Phase::answering || phase_ == Phase::finishing) return;
-        if (phase_ == Phase::idle) return finish(kLinger);
-        if (id_ == 0 || receiving()) reject(http::status::service_unavailable);
+        if (!owner_ || phase_ == Phase::finishing) return;
+        called_ = true;
+        if (phase_ != Phase::answering) turn_away();
     }
 
     void answer(Answer answer) {
@@ -180,6 +183,7 @@
         stays_ = head.keep_alive();
         // What the kernel holds of it is bounded too, so that a slow reader's progress shows.
         error_code ignored;
+        if (until_close_) reset_at_end(true);
         socket_.set_option(asio::socket_base::send_buffer_size(static_cast<int>(Pipe::kMost)), ignored);
         const auto out = std::make_shared<http::response<http::empty_body>>(std::move(head));
         const auto serializer = std::make_shared<http::response_serializer<http::empty_body>>(*out);
@@ -213,7 +217,9 @@
 private:
     enum class Phase { idle, head, body, waiting, answering, finishing };
 
-    bool stays() const { return keep_ && !receiving() && !owner_->draining_; }
+    // A drain ends it with the answer to the last request that was read. After the last call nothing more is.
+    bool stays() { return keep_ && !receiving() && (!owner_->draining_ || more_came()); }
+    bool more_came() { return buffer_.size() > 0 || (!called_ && !quiet()); }
     // Whether a request's body is yet to come.
     bool receiving() const { return body_ && !body_->whole(); }
 
@@ -238,15 +244,23 @@
         socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
         if (error == asio::error::would_block)
             wait_readable();
-        else if (error && phase_ != Phase::answering)
+        else if (!error)
+            stands_unread();
+        else if (phase_ != Phase::answering)
             close();
     }
 
+    // Of the last call: what is not here whole.
+    void turn_away() {
+        if (phase_ == Phase::idle) return finish(kLinger);
+        if (id_ == 0 || receiving()) reject(http::status::service_unavailable);
+    }
+
     // Reads and parses as long as there is something to read and room for it.
     void feed() {
         for (int turns = 0;; ++turns) {
             if (!owner_ || (phase_ != Phase::idle && phase_ != Phase::head && !receiving())) return;
-            if (receiving() && body_->room() == 0) return no_limit();  // our delay: on_room goes on
+            if (receiving() && body_->room() == 0) return stalled();
             if (buffer_.size() > 0) {
                 if (!parse()) return;
                 continue;
@@ -260,12 +274,14 @@
 
     // Whether anything was read.
     bool receive() {
+        if (called_) return turn_away(), false;
         error_code error;
         const std::size_t space = buffer_.max_size() - buffer_.size();
         const std::size_t size = std::min(space, receiving() ? kPiece : kHeadPiece);
         const std::size_t count = socket_.read_some(buffer_.prepare(size), error);
         if (error == asio::error::would_block) {
             if (phase_ == Phase::idle) buffer_.shrink_to_fit();
+            unread_since_.reset();
             wait_readable();
             return false;
         }
@@ -304,6 +320,8 @@
         parser_->eager(!heading);
         const std::size_t used = parser_->put(buffer_.data(), error);
         buffer_.consume(used);
+        // The last byte of one that servers have in part lets it begin there: not for a client that has gone.
+        if (receiving() && phase_ == Phase::waiting && parser_->is_done() && left()) return close(), false;
         if (receiving() && part.size < room) {
             body_->added(room - part.size);
         }
@@ -391,14 +409,20 @@
         if (phase_ == Phase::body) return arrive();
         if (phase_ != Phase::waiting) return;
         owner_->callbacks_.whole(id_);
-        if (owner_ && phase_ == Phase::waiting && buffer_.size() == 0) wait_readable();
+        if (!owner_ || phase_ != Phase::waiting) return;
+        next_unread();
+        if (buffer_.size() == 0) wait_readable();
     }
 
     // To the sidecar: with its body whole, or as much of it as there is room for.
     void arrive() {
         auto arrival = read_arrival(*message_);
         first_by_.reset();
-        if (!receiving()) no_limit();
+        if (!receiving()) {
+            no_limit();
+            arrival->time_left = std::max(0.0, arrival->time_left - unread_for());
+            next_unread();
+        }
         arrival->id = id_ = owner_->next_request_++;
         arrival->message = message_;
         arrival->body = body_ && body_->whole() && body_->total() == 0 ? nullptr : body_;
@@ -408,6 +432,28 @@
         owner_->callbacks_.arrived(std::move(*arrival));
     }
 
+    // The time of a request counts from its last byte. When that came is not known of what stood unread, in
+    // our buffer or the kernel's: at the earliest when we stopped to read, or saw the first of it.
+    void stands_unread() {
+        if (!unread_since_) unread_since_ = Steady::now();
+    }
+    // No room for the rest of a body: our delay, and on_room goes on. While its last byte is yet to come the
+    // time counts from now at the earliest.
+    void stalled() {
+        error_code ignored;
+        const std::uint64_t here = body_->total() + buffer_.size() + socket_.available(ignored);
+        if (!body_->length || here < *body_->length) unread_since_.reset();
+        stands_unread();
+        no_limit();
+    }
+    // One request is here whole: whatever else is here is of the next one.
+    void next_unread() {
+        if (buffer_.size() > 0)
+            stands_unread();
+        else if (unread_since_ && quiet())
+            unread_since_.reset();
+    }
+
     // A small request may take its time whatever its pieces; a larger body has to come on after that, without
     // a long pause and at half the slowest writer's pace on the whole.
     void body_timer() {
@@ -442,9 +488,11 @@
         leave(*owner_, whole);
         no_limit();
         if (!whole) return close();
-        if (!stays || unread) return finish(kLongestLinger);
+        const bool last = called_ && buffer_.size() == 0;
+        if (!stays || unread || last) return finish(kLongestLinger);
         phase_ = Phase::idle;
         since_ = Steady::now();
+        next_unread();
         owner_->rested();
         if (buffer_.size() > 0) return feed();
         buffer_.shrink_to_fit();
@@ -475,6 +523,7 @@
                 [self = shared_from_this()](error_code failed, std::size_t) { self->wrote(failed, 0); });
         } else if (pipe_->whole()) {
             ending_ = false;
+            if (until_close_) reset_at_end(false);
             answered(true, stays_);
         } else {
             no_limit();  // the server's turn
@@ -492,10 +541,11 @@
     // A reader may be slow, but not still.
     void progress() { close_at(Steady::now() + span(kStillReader)); }
     // The client must see that it is not whole: short of its length, or without its last chunk, or reset.
-    void abort() {
+    void abort() { close(); }
+    // Where its end is the answer's, that of the process in its midst must not be taken for it either.
+    void reset_at_end(bool reset) {
         error_code ignored;
-        if (until_close_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
-        close();
+        socket_.set_option(asio::socket_base::linger(reset, 0), ignored);
     }
 
     void discard() {
@@ -522,7 +572,16 @@
         });
     }
     // Whoever has sent no whole request is ended in order, whoever does not read is not waited for.
-    void overdue() { id_ == 0 && phase_ < Phase::waiting ? finish(kLinger) : close(); }
+    // What came up to now is read first.
+    void overdue() {
+        if (still_comes()) {
+            feed();
+            if (!owner_ || !still_comes() || due_ == Steady::time_point{} || due_ > Steady::now()) return;
+        }
+        id_ == 0 && phase_ < Phase::waiting ? finish(kLinger) : close();
+    }
+    // Whether a request is yet to come, or its rest.
+    bool still_comes() const { return phase_ < Phase::waiting || (phase_ == Phase::waiting && receiving()); }
 
     Front* owner_;  // none: closed
     Tcp::socket socket_;
@@ -536,9 +595,10 @@
     unsigned version_ = 11;
     std::uint64_t received_ = 0;
     Steady::time_point since_, began_, body_began_, due_, finish_by_;
-    std::optional<Steady::time_point> first_by_;  // none: it has sent a request
+    std::optional<Steady::time_point> first_by_;      // none: it has sent a request
+    std::optional<Steady::time_point> unread_since_;  // none: what comes is read as it comes
     bool keep_ = true, stays_ = true, waiting_ = false, writing_ = false, ending_ = false,
-         until_close_ = false;
+         until_close_ = false, called_ = false;
 };
 
 Front::Front(asio::io_context& io, const Tcp::endpoint& listen, std::size_t clients, bool shared,
@@ -647,6 +707,11 @@
     return true;
 }
 
+Millis Front::unread_for(RequestId request) const {
+    const auto at = held_.find(request);
+    return at == held_.end() ? 0 : at->second->unread_for();
+}
+
 void Front::answer(RequestId request, Answer answer) {
     const auto at = held_.find(request);
     if (at == held_.end()) return;
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -40,7 +40,9 @@
 // "Figures"): what still comes has its answer kReserve sooner, and kLinger before that connections without a
 // request are ended. While one is not answered, as it came before with a longer time, it goes on and looks
 // again.
-constexpr Millis kKillAfter = 700, kReserve = 100, kLinger = 300, kLook = 50, kLongestDrain = 60000;
+constexpr Millis kHoldUp = 150;  // for so long the process may stand still, right as answers are due
+constexpr Millis kReserve = kHoldUp + 20;  // and the time to write them
+constexpr Millis kKillAfter = 700, kLinger = 300, kLook = 50, kLongestDrain = 60000;
 
 // Whether the method and the key are those that the protocol gives to a class.
 bool in_form(const RequestClass& kind, const Front::Message& message, bool has_body) {
@@ -294,14 +296,11 @@
     Request& r = request->second;
     const auto number = static_cast<std::uint32_t>(r.attempts.size());
     const auto server = servers_.find(send.server);
-    const Millis now = clock_.now();
-    const Millis until = send.try_until > 0 ? std::min(send.try_until, r.deadline) : r.deadline;
-    const Millis begin_by = send.begin_by > 0 ? std::min(send.begin_by, until) : until;
-    r.attempts.push_back({0, send.server, now, true});
+    const Millis until = waits_until(send, r);
+    r.attempts.push_back({0, send.server, clock_.now(), true});
     ++r.out;
     if (server != servers_.end()) ++server->second.out;
-    if (!may_begin(send.id, send.server, begin_by) || (r.body && !r.body->kept()))
-        return ended(send.id, number, Outcome::superseded, {});
+    if (r.body && !r.body->kept()) return ended(send.id, number, Outcome::superseded, {});
 
     const Front::Message& from = *r.message;
     Upstream::Request to;
@@ -310,12 +309,9 @@
     to.message.version(11);
     copy_end_to_end(to.message, from);
     to.message.set(http::field::host, from[http::field::host]);
-    const Millis waits = r.whole_at > 0 ? until - now : r.time_left;
-    to.message.set("Request-Timeout-Ms", decimal(std::max(1.0, std::floor(waits)), "%.0f"));
+    to.may_begin = [this, send](Upstream::Message& head) { return may_begin(send, head); };
+    if (!to.may_begin(to.message)) return ended(send.id, number, Outcome::superseded, {});
     if ((to.body = r.body)) r.body->rewind();
-    to.may_begin = [this, id = send.id, server = send.server, begin_by] {
-        return may_begin(id, server, begin_by);
-    };
     r.attempts[number].exchange = upstream_.start(
         send.server, std::move(to),
         [this, id = send.id, number](Outcome outcome, Upstream::Response response) {
@@ -330,14 +326,28 @@
     if (until < kNever) due(until, AttemptLimit{send.id, number});
 }
 
+// The end of what an attempt is given, on the sidecar's clock.
+Millis Sidecar::waits_until(const Send& send, const Request& request) const {
+    return send.try_until > 0 ? std::min(send.try_until, request.deadline) : request.deadline;
+}
+
 // Right before a first byte goes out: at the choice, and once more when a connection has come up. Whoever has
 // left by then is not served, a server that leaves gets nothing new, and what comes too late is not issued.
-bool Sidecar::may_begin(RequestId id, ServerId server, Millis begin_by) {
-    const auto request = requests_.find(id);
-    const auto at = servers_.find(server);
-    if (request == requests_.end() || request->second.ended || at == servers_.end()) return false;
-    if (front_->left(id)) return gone(id), false;
-    return at->second.listed && !at->second.leaving && clock_.now() < begin_by;
+// The head tells what is left by the same reading of the clock, in whole milliseconds, rounded down. The time
+// of a body that is still coming counts from its last byte, which may stand unread already.
+bool Sidecar::may_begin(const Send& send, Upstream::Message& head) {
+    const auto request = requests_.find(send.id);
+    const auto server = servers_.find(send.server);
+    if (request == requests_.end() || request->second.ended || server == servers_.end()) return false;
+    if (front_->left(send.id)) return gone(send.id), false;
+    if (!server->second.listed || server->second.leaving) return false;
+    const Millis now = clock_.now();
+    const Request& r = request->second;
+    const Millis unread = r.whole_at > 0 ? 0 : front_->unread_for(send.id);
+    const Millis left = std::floor(std::min(r.time_left - unread, waits_until(send, r) - now));
+    if (left < 1 || (send.begin_by > 0 && now >= send.begin_by)) return false;
+    head.set("Request-Timeout-Ms", decimal(left, "%.0f"));
+    return true;
 }
 
 void Sidecar::carry_out(const Cancel& cancel) {
@@ -409,7 +419,7 @@
     if (at == requests_.end() || at->second.ended) return;
     Request& r = at->second;
     r.whole_at = clock_.now();
-    r.time_left = within_drain(r.time_left);
+    r.time_left = within_drain(std::max(0.0, r.time_left - front_->unread_for(id)));
     r.deadline = r.whole_at + r.time_left;
     flights_[id].class_index = r.class_index;
     for (std::uint32_t number = 0; number < r.attempts.size(); ++number)
