--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -9,7 +9,6 @@
 #include <boost/asio/post.hpp>
 #include <cmath>
 #include <cstdio>
-#include <filesystem>
 #include <utility>
 
 #include "node/log.hpp"
@@ -34,8 +33,8 @@
 constexpr std::size_t kBufferPart = 4;  // of the memory allowed, what bodies in passing may fill
 constexpr double kGatherPart = 8;  // of the shortest aim, what an answer of unknown length may be kept back
 constexpr Millis kNever = 1e15;
-constexpr Millis kTwinLook = 50;    // between looks for another process of this sidecar
-constexpr Millis kAccepting = 500;  // of a drain: new connections come for up to 400 ms
+constexpr Millis kOtherProcessLook = 50;  // between looks for another process of this sidecar
+constexpr Millis kAccepting = 500;        // of a drain: new connections come for up to 400 ms
 // Of a drain. The longest deadline and 0.7 s after SIGTERM whatever is not answered may be lost (PROTOCOL,
 // "Figures"): what still comes has its answer kReserve sooner, and kLinger before that connections without a
 // request are ended. While one is not answered, as it came before with a longer time, it goes on and looks
@@ -72,7 +71,7 @@
                 {config_.connect_timeout, config_.idle_close * (1 - kIdleMargin), half(config_.sockets),
                  gather(config_.site.settings)},
                 budget_),
-      twin_timer_(io),
+      hot_restart_timer_(io),
       metrics_(config_.site.classes),
       last_call_(io) {
     budget_->limit = buffers();
@@ -86,9 +85,10 @@
         }
         // An address of the system's choice is nobody else's.
         if (config_.listen.port() != 0) {
-            twin_.emplace(std::filesystem::temp_directory_path().string(),
-                          config_.listen.address().to_string() + "-" + std::to_string(config_.listen.port()));
-            watch_twin();
+            hot_restart_lock_.emplace(
+                HotRestartLock::temporary_folder(),
+                config_.listen.address().to_string() + "-" + std::to_string(config_.listen.port()));
+            watch_other_process();
         }
     }
     const bool asked = config_.site.settings.list_on_request;
@@ -168,18 +168,35 @@
     return config_.memory_mb * 1024 * 1024 / kBufferPart / (halved_ ? 2 : 1);
 }
 
-void Sidecar::watch_twin() {
-    if (const bool other = twin_->other_lives(); other != halved_) {
-        halved_ = other;
-        log(spdlog::level::info, other ? "twin.present" : "twin.alone",
-            {{"limits", other ? "half of the limits each" : "all of the limits"}});
-        budget_->limit = buffers();
-        upstream_.limit_connections(half(sockets()));
-        if (front_) front_->limit_clients(half(sockets()));
-        give(Doubled{halved_});
+// While it is not known whether there is another process, the limits are read as if there were one.
+void Sidecar::watch_other_process() {
+    if (const OtherProcess other = hot_restart_lock_->other_lives(); other != other_process_) {
+        other_process_ = other;
+        log_other_process();
+        if (const bool halved = other != OtherProcess::alone; halved != halved_) {
+            halved_ = halved;
+            budget_->limit = buffers();
+            upstream_.limit_connections(half(sockets()));
+            if (front_) front_->limit_clients(half(sockets()));
+            give(Doubled{halved_});
+        }
+    }
+    hot_restart_timer_.expires_after(span(kOtherProcessLook));
+    hot_restart_timer_.async_wait(unless_over([this] { watch_other_process(); }));
+}
+
+void Sidecar::log_other_process() const {
+    switch (other_process_) {
+        case OtherProcess::alone:
+            return log(spdlog::level::info, "hot_restart.alone", {{"limits", "all of the limits"}});
+        case OtherProcess::shared:
+            return log(spdlog::level::info, "hot_restart.shared", {{"limits", "half of the limits each"}});
+        case OtherProcess::unknown:
+            return log(spdlog::level::warn, "hot_restart.unknown",
+                       {{"limits", "half of the limits"},
+                        {"path", hot_restart_lock_->path()},
+                        {"error", hot_restart_lock_->error()}});
     }
-    twin_timer_.expires_after(span(kTwinLook));
-    twin_timer_.async_wait(unless_over([this] { watch_twin(); }));
 }
 
 std::optional<Tcp::endpoint> Sidecar::operator_address() const {
--- a/src/node/sidecar.hpp
+++ b/src/node/sidecar.hpp
@@ -20,10 +20,10 @@
 #include "node/config.hpp"
 #include "node/discovery.hpp"
 #include "node/front.hpp"
+#include "node/hot_restart_lock.hpp"
 #include "node/metrics.hpp"
 #include "node/operator.hpp"
 #include "node/peers.hpp"
-#include "node/twin.hpp"
 #include "node/upstream.hpp"
 
 namespace mothring::node {
@@ -115,7 +115,8 @@
     void open_front();
     void open_cluster();
     std::uint64_t affinity_of(std::string_view class_name, const Front::Message& message) const;
-    void watch_twin();
+    void watch_other_process();
+    void log_other_process() const;
     void last_call(Millis in, Millis most);
     Millis within_drain(Millis time_left) const;
     std::size_t sockets() const;
@@ -159,9 +160,10 @@
     std::optional<OperatorListener> operators_;
     std::optional<cluster::Agent> cluster_;
     LogLimit rejected_{std::chrono::seconds(1)};  // a flood of bad datagrams writes a line a second
-    std::optional<Twin> twin_;
-    boost::asio::steady_timer twin_timer_;
-    bool halved_ = false;  // another process of this sidecar has the other half
+    std::optional<HotRestartLock> hot_restart_lock_;
+    boost::asio::steady_timer hot_restart_timer_;
+    OtherProcess other_process_ = OtherProcess::alone;
+    bool halved_ = false;  // another process of this sidecar has the other half, or may have it
     std::size_t listed_ = 0;
     Metrics metrics_;
     std::unordered_map<RequestId, Flight> flights_;
--- /dev/null
+++ b/tests/hot_restart_lock_test.cpp
@@ -0,0 +1,270 @@
+// Whether two processes of one sidecar see each other, by the kernel's locks alone, and what is taken for
+// granted while they can't: nothing.
+#include "node/hot_restart_lock.hpp"
+
+#include <unistd.h>
+
+#include <cerrno>
+#include <deque>
+#include <filesystem>
+#include <fstream>
+#include <memory>
+
+#include "net_rig.hpp"
+
+namespace mothring::node::test {
+namespace {
+
+using enum OtherProcess;
+
+constexpr int kSettlingLooks = 4;  // after a failure, before `alone` is told
+
+// The kernel's calls, of which those that are told to fail do so: each errno once, in the order given.
+struct FailingCalls : LockCalls {
+    std::deque<int> open_errors, set_errors, get_errors, path_errors, file_errors;
+    static bool fails(std::deque<int>& errors) {
+        if (errors.empty()) return false;
+        errno = errors.front();
+        errors.pop_front();
+        return errno != 0;
+    }
+    int open(const char* path, int flags, mode_t mode) override {
+        return fails(open_errors) ? -1 : LockCalls::open(path, flags, mode);
+    }
+    int lock(int file, int command, struct flock& range) override {
+        return fails(command == F_OFD_SETLK ? set_errors : get_errors)
+                   ? -1
+                   : LockCalls::lock(file, command, range);
+    }
+    int status(const char* path, struct stat& into) override {
+        return fails(path_errors) ? -1 : LockCalls::status(path, into);
+    }
+    int status(int file, struct stat& into) override {
+        return fails(file_errors) ? -1 : LockCalls::status(file, into);
+    }
+};
+
+struct HotRestart : testing::Test {
+    const std::string folder =
+        (std::filesystem::temp_directory_path() / ("whinledge-lives-" + std::to_string(::getpid()))).string();
+    const std::string file = folder + "/whinledge-n1.lives";
+    FailingCalls calls;
+    HotRestart() { std::filesystem::create_directories(folder); }
+    ~HotRestart() override { std::filesystem::remove_all(folder); }
+
+    // The first answer but `unknown`, and after how many of these.
+    static std::pair<int, OtherProcess> settled(HotRestartLock& lock) {
+        for (int looks = 0; looks < 20; ++looks)
+            if (const OtherProcess found = lock.other_lives(); found != unknown) return {looks, found};
+        return {20, unknown};
+    }
+
+    // A process of an older version: it locks the first free byte of 16 when it starts, and looks at nothing
+    // else later.
+    struct OlderVersion {
+        int file = -1;
+        explicit OlderVersion(const std::string& path)
+            : file(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600)) {
+            for (off_t byte = 0; byte < 16; ++byte)
+                if (struct flock one = range(byte, 1); ::fcntl(file, F_OFD_SETLK, &one) == 0) return;
+            ADD_FAILURE() << "no byte to lock";
+        }
+        ~OlderVersion() { ::close(file); }
+        OlderVersion(const OlderVersion&) = delete;
+        OlderVersion& operator=(const OlderVersion&) = delete;
+        static struct flock range(off_t start, off_t length) {
+            struct flock range {};
+            range.l_type = F_WRLCK;
+            range.l_whence = SEEK_SET;
+            range.l_start = start;
+            range.l_len = length;
+            return range;
+        }
+        bool sees_another() const {
+            struct flock all = range(0, 16);
+            return ::fcntl(file, F_OFD_GETLK, &all) == 0 && all.l_type != F_UNLCK;
+        }
+    };
+};
+
+TEST_F(HotRestart, SeeEachOtherWhileBothLive) {
+    HotRestartLock one(folder, "n1"), stranger(folder, "n2");
+    EXPECT_EQ(one.other_lives(), alone);
+    auto two = std::make_unique<HotRestartLock>(folder, "n1");
+    EXPECT_EQ(two->other_lives(), shared);
+    EXPECT_EQ(one.other_lives(), shared);
+    EXPECT_EQ(stranger.other_lives(), alone);
+    two.reset();
+    EXPECT_EQ(one.other_lives(), alone);
+    HotRestartLock nowhere(folder + "/none", "n1");
+    EXPECT_EQ(nowhere.other_lives(), unknown);
+}
+
+TEST_F(HotRestart, AnOlderVersionIsSeenAndSees) {
+    {
+        const OlderVersion before(file);
+        HotRestartLock lock(folder, "n1");
+        EXPECT_EQ(lock.other_lives(), shared);
+        EXPECT_TRUE(before.sees_another());
+    }
+    HotRestartLock lock(folder, "n1");
+    EXPECT_EQ(lock.other_lives(), alone);
+    const OlderVersion after(file);
+    EXPECT_EQ(lock.other_lives(), shared);
+    EXPECT_TRUE(after.sees_another());
+}
+
+TEST_F(HotRestart, AFailureAtTheStartIsTriedAgainAtEachLook) {
+    for (const int error : {ENOSPC, EIO, EROFS, EACCES, EMFILE}) {
+        calls.open_errors = {error, error};
+        HotRestartLock late(folder, "n1", calls);
+        EXPECT_EQ(late.other_lives(), unknown) << error;
+        EXPECT_EQ(late.error(), std::generic_category().message(error));
+        HotRestartLock other(folder, "n1");
+        EXPECT_EQ(other.other_lives(), alone) << error;
+        EXPECT_EQ(late.other_lives(), unknown) << error;
+        EXPECT_EQ(late.other_lives(), shared) << error;
+        EXPECT_EQ(other.other_lives(), shared) << error;
+    }
+    for (const int error : {ENOLCK, EIO, EDEADLK, EINVAL}) {
+        calls.set_errors = {error, error};
+        HotRestartLock late(folder, "n1", calls);
+        EXPECT_EQ(settled(late), std::pair(2 + kSettlingLooks, alone)) << error;
+    }
+    calls.file_errors = {EIO};
+    HotRestartLock late(folder, "n1", calls);
+    EXPECT_EQ(settled(late), std::pair(1 + kSettlingLooks, alone));
+}
+
+TEST_F(HotRestart, AFailedReadOfTheLocksIsNotTakenForNoOther) {
+    HotRestartLock one(folder, "n1", calls), two(folder, "n1");
+    two.other_lives();
+    EXPECT_EQ(one.other_lives(), shared);
+    for (const int error : {EIO, ENOLCK}) {
+        calls.get_errors = {error};
+        EXPECT_EQ(one.other_lives(), unknown) << error;
+        EXPECT_EQ(one.other_lives(), shared) << error;
+    }
+}
+
+TEST_F(HotRestart, AnInterruptedCallIsMadeAgainAtOnceAndNotForEver) {
+    calls.open_errors = calls.set_errors = calls.get_errors = calls.path_errors = {EINTR, EINTR};
+    HotRestartLock one(folder, "n1", calls);
+    EXPECT_EQ(one.other_lives(), alone);
+    calls.get_errors.assign(100, EINTR);
+    EXPECT_EQ(one.other_lives(), unknown);
+    EXPECT_GE(calls.get_errors.size(), 90u);
+}
+
+// The path can't be looked at for once: what is held is not locked again, or it would see itself.
+TEST_F(HotRestart, AFailedLookAtThePathMakesNoSecondLock) {
+    HotRestartLock one(folder, "n1", calls);
+    EXPECT_EQ(one.other_lives(), alone);
+    calls.path_errors = {EIO, EIO};
+    EXPECT_EQ(settled(one), std::pair(1 + kSettlingLooks, alone));
+}
+
+TEST_F(HotRestart, AFolderThatAppearsLaterIsUsed) {
+    HotRestartLock one(folder + "/later", "n1"), two(folder + "/later", "n1");
+    EXPECT_EQ(one.other_lives(), unknown);
+    EXPECT_EQ(two.other_lives(), unknown);
+    std::filesystem::create_directory(folder + "/later");
+    EXPECT_EQ(one.other_lives(), unknown) << "the other has not looked yet";
+    EXPECT_EQ(two.other_lives(), shared);
+    EXPECT_EQ(one.other_lives(), shared);
+}
+
+TEST_F(HotRestart, WhatLiesAtThePathIsNotReadAndNoObstacleForGood) {
+    std::filesystem::create_directory(file);  // a directory: EISDIR
+    HotRestartLock one(folder, "n1");
+    EXPECT_EQ(one.other_lives(), unknown);
+    std::filesystem::remove(file);
+    std::ofstream(file) << "left by somebody, half wri";
+    EXPECT_EQ(settled(one), std::pair(kSettlingLooks, alone));
+    HotRestartLock two(folder, "n1");
+    EXPECT_EQ(two.other_lives(), shared);
+    EXPECT_EQ(std::filesystem::file_size(file), 26u) << "nothing is written to it";
+    std::filesystem::create_symlink(file, folder + "/whinledge-link.lives");
+    HotRestartLock link(folder, "link");  // as older versions read it
+    EXPECT_EQ(link.other_lives(), shared);
+}
+
+TEST_F(HotRestart, AFileDeletedOrReplacedWhileHeldIsLockedAnew) {
+    HotRestartLock one(folder, "n1");
+    EXPECT_EQ(one.other_lives(), alone);
+    std::filesystem::remove(file);
+    HotRestartLock two(folder, "n1");
+    EXPECT_EQ(two.other_lives(), alone) << "until the first has looked";
+    EXPECT_EQ(one.other_lives(), shared);
+    EXPECT_EQ(two.other_lives(), shared);
+    std::ofstream(folder + "/other") << "";
+    std::filesystem::rename(folder + "/other", file);
+    EXPECT_EQ(two.other_lives(), shared);
+    EXPECT_EQ(one.other_lives(), shared);
+    HotRestartLock three(folder, "n1");
+    EXPECT_EQ(three.other_lives(), shared);
+}
+
+// An older version does not notice that its file is gone: it must see us there, and we it.
+TEST_F(HotRestart, AnOlderVersionIsStillSeenInTheFileThatWasDeleted) {
+    HotRestartLock lock(folder, "n1");
+    EXPECT_EQ(lock.other_lives(), alone);
+    auto older = std::make_unique<OlderVersion>(file);
+    std::filesystem::rename(file, folder + "/away");
+    for (int look = 0; look < 3; ++look) {
+        EXPECT_EQ(lock.other_lives(), shared);
+        EXPECT_TRUE(older->sees_another());
+    }
+    std::filesystem::rename(folder + "/away", file);  // it comes back
+    EXPECT_EQ(lock.other_lives(), shared);
+    EXPECT_TRUE(older->sees_another());
+    older.reset();
+    EXPECT_EQ(lock.other_lives(), alone);
+}
+
+TEST_F(HotRestart, AFileReplacedOverAndOverCostsABoundedNumberOfDescriptors) {
+    const auto descriptors = [] {
+        return std::distance(std::filesystem::directory_iterator("/proc/self/fd"), {});
+    };
+    HotRestartLock lock(folder, "n1");
+    lock.other_lives();
+    std::list<OlderVersion> older;
+    const auto before = descriptors();
+    for (int times = 0; times < 12; ++times) {
+        older.emplace_back(file);
+        std::filesystem::remove(file);
+        EXPECT_EQ(lock.other_lives(), shared);
+    }
+    EXPECT_LE(descriptors() - before, 12 + 4);
+    older.clear();
+    EXPECT_EQ(settled(lock).second, alone);
+    EXPECT_EQ(lock.other_lives(), alone);
+    EXPECT_EQ(descriptors(), before);
+}
+
+// Beside another process everything that is limited is halved, and no longer once it is gone.
+TEST_F(NetRig, BesideAnotherProcessItTakesHalf) {
+    Tcp::endpoint listen = Tcp::acceptor(io, any_port).local_endpoint();
+    Config config =
+        read_config(config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}}), "40"));
+    config.listen = listen;
+    config.operators = any_port;
+    sidecar.emplace(io, config);
+    for (int i = 0; i < 8; ++i) client();
+    for (auto& c : clients) c.send("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+    const auto ended = [&] {
+        return std::count_if(clients.begin(), clients.end(), [](const auto& c) { return c.ended; });
+    };
+    until([&] {
+        return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return !c.answers.empty(); });
+    });
+    EXPECT_LE(ended(), 1);  // one slot is kept free
+    std::optional<Sidecar> other(std::in_place, io, config);
+    EXPECT_TRUE(other->halved());
+    until([&] { return sidecar->halved() && ended() >= 4; });
+    other.reset();
+    until([&] { return !sidecar->halved(); });
+}
+
+}  // namespace
+}  // namespace mothring::node::test
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -58,21 +58,35 @@
 struct Program : testing::Test {
     std::filesystem::path folder =
         std::filesystem::temp_directory_path() / ("whinledge-test-" + std::to_string(::getpid()));
+    std::filesystem::path temporary = folder;  // the program's $TMPDIR
     Program() { std::filesystem::create_directories(folder); }
     ~Program() override { std::filesystem::remove_all(folder); }
 
     // Starts the program with its log in a file.
-    pid_t start(const std::string& config) {
+    pid_t start(const std::string& config, const std::string& log = "log") {
+        return start_with(config,
+                          [&] { return std::freopen((folder / log).c_str(), "w", stderr) != nullptr; });
+    }
+    // Starts the program; `set_up` is what happens in the new process before.
+    pid_t start_with(const std::string& config, const std::function<bool()>& set_up) {
         std::ofstream(folder / "config.json") << config;
         const pid_t child = ::fork();
         if (child != 0) return child;
         ::setenv("LB_CONFIG", (folder / "config.json").c_str(), 1);
-        ::setenv("TMPDIR", folder.c_str(), 1);
-        if (!std::freopen((folder / "log").c_str(), "w", stderr)) ::_exit(126);
+        ::setenv("TMPDIR", temporary.c_str(), 1);
+        if (!set_up()) ::_exit(126);
         for (int file = 3; file < 1024; ++file) ::close(file);  // the test's connections are its own
         ::execl(MOTHRING_BIN, MOTHRING_BIN, static_cast<char*>(nullptr));
         ::_exit(127);
     }
+    // How often that event is in that log.
+    std::size_t logged(const std::string& log, const std::string& event) const {
+        std::ifstream lines(folder / log);
+        std::size_t count = 0;
+        for (std::string line; std::getline(lines, line);)
+            count += line.find("\"event\":\"" + event + "\"") != std::string::npos;
+        return count;
+    }
     // Runs `mothring check-config FILE` on a TOML text; its exit status.
     int check(const std::string& toml) {
         std::ofstream(folder / "sidecar.toml") << toml;
@@ -158,13 +172,14 @@
         std::size_t index;
         Tcp::endpoint operators;
     };
-    Process begin() {
+    Process begin(const std::string& log = "log") {
         const Tcp::endpoint operators = free_address();
         const auto text = [](const Tcp::endpoint& at) { return "127.0.0.1:" + std::to_string(at.port()); };
         children.push_back(
             start(replaced(config_json(agent.address(), list_json(1, true, {{"s-a", server.address()}}),
                                        "1024", text(listen)),
-                           "\"future\":[1]", "\"operator\":\"" + text(operators) + "\"")));
+                           "\"future\":[1]", "\"operator\":\"" + text(operators) + "\""),
+                  log));
         Process process{children.size() - 1, operators};
         run_until(io, [&] { return status(process, "/ready") == 200; });
         return process;
@@ -264,6 +279,29 @@
     EXPECT_EQ(status(third, "/ready"), 200u);
 }
 
+// The folder for the lock is missing when both start: neither may take the whole of the limits, nor may
+// either once the folder is there and they see each other.
+TEST_F(Upgrade, ProcessesThatCannotHaveTheirLockTakeHalfUntilOneIsAlone) {
+    temporary = folder / "later";
+    const Process first = begin("first"), second = begin("second");
+    run_until(io, [&] {
+        return logged("first", "hot_restart.unknown") == 1 && logged("second", "hot_restart.unknown") == 1;
+    });
+    serve(50);
+    std::filesystem::create_directory(temporary);
+    run_until(io, [&] {
+        return logged("first", "hot_restart.shared") == 1 && logged("second", "hot_restart.shared") == 1;
+    });
+    EXPECT_EQ(logged("first", "hot_restart.alone") + logged("second", "hot_restart.alone"), 0u);
+    EXPECT_EQ(logged("first", "hot_restart.unknown") + logged("second", "hot_restart.unknown"), 2u)
+        << "a line for each change, not for each look";
+    end(first, SIGTERM);
+    run_until(io, [&] { return turn(), logged("second", "hot_restart.alone") == 1; });
+    serve(50);
+    expect_nothing_lost();
+    EXPECT_EQ(status(second, "/ready"), 200u);
+}
+
 // Discovery is down while idle clients, who never go by themselves, take all that clients may have, some with
 // bytes of a further request that stay unread. The process is held to the descriptors that it was told of.
 TEST_F(Upgrade, IdleClientsTakeNoDescriptorFromDiscoveryOrNewcomers) {
