--- a/tests/program_rig.hpp
+++ b/tests/program_rig.hpp
@@ -7,6 +7,8 @@
 #include <csignal>
 #include <filesystem>
 #include <fstream>
+#include <functional>
+#include <string>
 
 #include "net_rig.hpp"
 
@@ -15,21 +17,35 @@
 struct Program : testing::Test {
     std::filesystem::path folder =
         std::filesystem::temp_directory_path() / ("whinledge-test-" + std::to_string(::getpid()));
+    std::filesystem::path temporary = folder;  // the program's $TMPDIR
     Program() { std::filesystem::create_directories(folder); }
     ~Program() override { std::filesystem::remove_all(folder); }
 
     // Starts the program with its log in a file.
-    pid_t start(const std::string& config) {
+    pid_t start(const std::string& config, const std::string& log = "log") {
+        return start_with(config,
+                          [&] { return std::freopen((folder / log).c_str(), "w", stderr) != nullptr; });
+    }
+    // Starts the program; `set_up` is what happens in the new process before.
+    pid_t start_with(const std::string& config, const std::function<bool()>& set_up) {
         std::ofstream(folder / "config.json") << config;
         const pid_t child = ::fork();
         if (child != 0) return child;
         ::setenv("LB_CONFIG", (folder / "config.json").c_str(), 1);
-        ::setenv("TMPDIR", folder.c_str(), 1);
-        if (!std::freopen((folder / "log").c_str(), "w", stderr)) ::_exit(126);
+        ::setenv("TMPDIR", temporary.c_str(), 1);
+        if (!set_up()) ::_exit(126);
         for (int file = 3; file < 1024; ++file) ::close(file);  // the test's connections are its own
         ::execl(MOTHRING_BIN, MOTHRING_BIN, static_cast<char*>(nullptr));
         ::_exit(127);
     }
+    // How often that event is in that log.
+    std::size_t logged(const std::string& log, const std::string& event) const {
+        std::ifstream lines(folder / log);
+        std::size_t count = 0;
+        for (std::string line; std::getline(lines, line);)
+            count += line.find("\"event\":\"" + event + "\"") != std::string::npos;
+        return count;
+    }
     // Runs `mothring check-config FILE` on a TOML text; its exit status.
     int check(const std::string& toml) {
         std::ofstream(folder / "sidecar.toml") << toml;
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -115,13 +115,14 @@
         std::size_t index;
         Tcp::endpoint operators;
     };
-    Process begin() {
+    Process begin(const std::string& log = "log") {
         const Tcp::endpoint operators = free_address();
         const auto text = [](const Tcp::endpoint& at) { return "127.0.0.1:" + std::to_string(at.port()); };
         children.push_back(
             start(replaced(config_json(agent.address(), list_json(1, true, {{"s-a", server.address()}}),
                                        "1024", text(listen)),
-                           "\"future\":[1]", "\"operator\":\"" + text(operators) + "\"")));
+                           "\"future\":[1]", "\"operator\":\"" + text(operators) + "\""),
+                  log));
         Process process{children.size() - 1, operators};
         run_until(io, [&] { return status(process, "/ready") == 200; });
         return process;
@@ -221,6 +222,29 @@
     EXPECT_EQ(status(third, "/ready"), 200u);
 }
 
+// The folder for the lock is missing when both start: neither may take the whole of the limits, nor may
+// either once the folder is there and they see each other.
+TEST_F(Upgrade, ProcessesThatCannotHaveTheirLockTakeHalfUntilOneIsAlone) {
+    temporary = folder / "later";
+    const Process first = begin("first"), second = begin("second");
+    run_until(io, [&] {
+        return logged("first", "hot_restart.unknown") == 1 && logged("second", "hot_restart.unknown") == 1;
+    });
+    serve(50);
+    std::filesystem::create_directory(temporary);
+    run_until(io, [&] {
+        return logged("first", "hot_restart.shared") == 1 && logged("second", "hot_restart.shared") == 1;
+    });
+    EXPECT_EQ(logged("first", "hot_restart.alone") + logged("second", "hot_restart.alone"), 0u);
+    EXPECT_EQ(logged("first", "hot_restart.unknown") + logged("second", "hot_restart.unknown"), 2u)
+        << "a line for each change, not for each look";
+    end(first, SIGTERM);
+    run_until(io, [&] { return turn(), logged("second", "hot_restart.alone") == 1; });
+    serve(50);
+    expect_nothing_lost();
+    EXPECT_EQ(status(second, "/ready"), 200u);
+}
+
 // Discovery is down while idle clients, who never go by themselves, take all that clients may have, some with
 // bytes of a further request that stay unread. The process is held to the descriptors that it was told of.
 TEST_F(Upgrade, IdleClientsTakeNoDescriptorFromDiscoveryOrNewcomers) {
