--- a/src/policy/balance.cpp
+++ b/src/policy/balance.cpp
@@ -173,11 +173,13 @@
         // its outstanding requests decide, as everywhere.
         const double n = s.carried.at_time(now, kRateMemory);
         const double late = cold_pace.value + (s.pace.value - cold_pace.value) * n / (n + kKindWorth);
-        const double feed = late > kAimShare ? 1 : std::max(1.0, kFeed * settings.fall_multiple);
-        // Never less than the trials of a few sidecars: that much from each of a thousand pushes it over.
         survey();
-        // A slow kind among fast ones gets no more than its own do.
+        // A slow kind among fast ones gets no more than its own do. One with no warm server shows nothing: at
+        // its share of the mean it stands if it is not slower than that by the whole multiple.
         const auto own = warm_rates.find(s.info.kind);
+        const bool cautious = late > kAimShare || own == warm_rates.end();
+        const double feed = cautious ? 1 : std::max(1.0, kFeed * settings.fall_multiple);
+        // Never less than the trials of a few sidecars: that much from each of a thousand pushes it over.
         const double rate = own == warm_rates.end() ? warm_rate : std::min(warm_rate, own->second);
         const double fed = std::max(feed * share * rate, our_part() / kBackoff);
         s.tokens = std::min(s.tokens + (now - s.tokens_at) * fed, 1.0);
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -416,6 +416,41 @@
     expect_kept_few_or_many(w, "at capacity");
 }
 
+// The only slow machine starts: no warm one of its kind shows what they do, and the warm rest does several
+// times as much. Then a burst.
+World the_only_slow_server_starts() {
+    World w;
+    w.by_term = true;
+    w.servers = 4;
+    w.cores = 4;
+    w.load = 0.96;
+    w.skew = 0.1;
+    w.slow_share = 0.25;
+    w.slow_pace = 0.4;
+    w.rules = [](Settings& s) { s.cold_from = 0.25, s.warm_within = 18500; };
+    w.demand = [](Millis t) { return t < 15700 ? 1.0 : t < 16200 ? 0.1 : t < 18700 ? 3.9 : 0.7; };
+    w.restarts_at = 12000;
+    w.length = 25000;
+    return w;
+}
+
+void expect_kept_of_every_kind(const World& world, const char* what) {
+    for (const std::size_t balancers : {1, 3, 60, 175, 900})
+        for (std::uint64_t seed = 1; seed <= 3; ++seed)
+            expect_kept_at(world, balancers, seed, what, kLeastSent);
+}
+
+TEST(ColdFleetOfAnySize, TheOnlySlowServerStarts) {
+    expect_kept_of_every_kind(the_only_slow_server_starts(), "slow");
+}
+
+// To new processes that kind has never been warm.
+TEST(ColdFleetOfAnySize, TheOnlySlowServerStartsAndAllBalancersToo) {
+    World w = the_only_slow_server_starts();
+    w.balancers_restart_at = 12500;
+    expect_kept_of_every_kind(w, "slow, new balancers");
+}
+
 // New processes every few seconds, each with buckets at a random depth.
 TEST(ColdFleetOfAnySize, AllBalancersRestartAgainAndAgain) {
     World w;
