--- /dev/null
+++ b/src/cluster/claim.cpp
@@ -0,0 +1,28 @@
+#include "cluster/claim.hpp"
+
+namespace mothring::cluster {
+
+namespace {
+
+constexpr std::size_t kFixedSize = 32;  // bytes of a claim in a message, besides its texts
+
+}  // namespace
+
+const char* name_of(State state) {
+    constexpr const char* kNames[] = {"alive", "suspect", "dead", "left"};
+    return kNames[static_cast<std::size_t>(state)];
+}
+
+bool is_present(State state) { return state == State::alive || state == State::suspect; }
+
+std::size_t encoded_size(const Claim& claim) {
+    return kFixedSize + claim.name.size() + claim.udp.size() + claim.tcp.size() + claim.version.size() +
+           claim.by.size();
+}
+
+Claim compact(Claim claim) {
+    if (claim.state != State::alive) claim.udp = claim.tcp = claim.version = "";
+    return claim;
+}
+
+}  // namespace mothring::cluster
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -4,7 +4,7 @@
 #include <xxhash.h>
 
 #include <algorithm>
-#include <cmath>
+#include <utility>
 
 namespace mothring::cluster {
 
@@ -13,48 +13,9 @@
 constexpr double kNackPart = 0.8;  // of the time for an ack, after which a probe made for another is a nack
 constexpr double kLatePart =
     0.5;  // of the period: a tick later than this shows that this process was stalled
-constexpr std::size_t kClaimRoom = 32;  // of a claim in a message, besides its texts
-
-std::size_t size_of(const Claim& claim) {
-    return kClaimRoom + claim.name.size() + claim.udp.size() + claim.tcp.size() + claim.version.size() +
-           claim.by.size();
-}
-
-// As it is passed on: where it listens and what it runs only with the claim that it lives.
-Claim brief(Claim claim) {
-    if (claim.state != State::alive) claim.udp = claim.tcp = claim.version = "";
-    return claim;
-}
-
-bool present(State state) { return state == State::alive || state == State::suspect; }
 
 }  // namespace
 
-const char* name_of(State state) {
-    constexpr const char* kNames[] = {"alive", "suspect", "dead", "left"};
-    return kNames[static_cast<std::size_t>(state)];
-}
-
-Millis Parameters::suspicion_timeout(std::size_t members, unsigned confirmations) const {
-    const double log = std::max(1.0, std::log10(std::max<double>(1, static_cast<double>(members))));
-    const Millis least = suspicion * log * period, most = suspicion_most * least;
-    const unsigned wanted = confirmations_wanted(members);
-    if (wanted == 0) return least;
-    const double part = std::log(confirmations + 1.0) / std::log(wanted + 1.0);
-    return std::max(least, most - (most - least) * part);
-}
-
-// As many as can come from others than the accuser, the suspect and this member, two at most in a small
-// fleet (memberlist's documentation: the multiplier less two).
-unsigned Parameters::confirmations_wanted(std::size_t members) const {
-    const auto wanted = static_cast<unsigned>(std::max(0.0, suspicion - 2));
-    return members < wanted + 2 ? 0 : wanted;
-}
-
-unsigned Parameters::transmits(std::size_t members) const {
-    return retransmit * static_cast<unsigned>(std::ceil(std::log10(static_cast<double>(members) + 1)));
-}
-
 Membership::Membership(Claim self, Parameters parameters, std::uint64_t seed)
     : self_(std::move(self)), parameters_(parameters), random_(seed) {
     self_.state = State::alive;
@@ -63,7 +24,7 @@
 std::size_t Membership::present() const {
     return 1 +
            static_cast<std::size_t>(std::count_if(records_.begin(), records_.end(), [](const auto& entry) {
-               return cluster::present(entry.second.claim.state);
+               return is_present(entry.second.claim.state);
            }));
 }
 
@@ -93,9 +54,7 @@
     return view;
 }
 
-double Membership::sync_periods() const {
-    return std::max(parameters_.sync_least_periods, static_cast<double>(present()) / 2);
-}
+double Membership::sync_periods() const { return parameters_.sync_periods(present()); }
 
 std::vector<Claim> Membership::members() const {
     std::vector<Claim> all{self_};
@@ -113,7 +72,7 @@
 std::uint64_t Membership::digest() const {
     std::map<std::string, std::uint64_t> sorted;
     for (const Claim& claim : members())
-        if (cluster::present(claim.state)) sorted[claim.name] = claim.incarnation;
+        if (is_present(claim.state)) sorted[claim.name] = claim.incarnation;
     std::uint64_t hash = 0;
     for (const auto& [name, incarnation] : sorted) {
         const std::uint64_t words[] = {hash, incarnation};
@@ -199,9 +158,8 @@
     if (next_sync_ <= now) {
         choose_syncs(effects);
         forget(now);
-        const double periods = std::max(parameters_.sync_least_periods, static_cast<double>(present()) / 2);
-        next_sync_ =
-            now + parameters_.period * periods * std::uniform_real_distribution<double>(0.75, 1.25)(random_);
+        next_sync_ = now + parameters_.period * sync_periods() *
+                               std::uniform_real_distribution<double>(0.75, 1.25)(random_);
     }
 }
 
@@ -238,7 +196,7 @@
 std::vector<std::string> Membership::some(std::size_t count, const std::set<std::string>& except) {
     std::vector<std::string> names;
     for (const auto& [name, record] : records_)
-        if (cluster::present(record.claim.state) && !except.contains(name)) names.push_back(name);
+        if (is_present(record.claim.state) && !except.contains(name)) names.push_back(name);
     std::shuffle(names.begin(), names.end(), random_);
     if (names.size() > count) names.resize(count);
     return names;
@@ -252,7 +210,7 @@
     for (int rounds = 0; rounds < 2 && target.empty(); ++rounds) {
         while (!round_.empty() && target.empty()) {
             const auto at = records_.find(round_.back());
-            if (at != records_.end() && cluster::present(at->second.claim.state)) target = round_.back();
+            if (at != records_.end() && is_present(at->second.claim.state)) target = round_.back();
             round_.pop_back();
         }
         if (target.empty()) round_ = some(records_.size(), {});
@@ -287,7 +245,7 @@
     else
         be_aware(1);
     const auto at = records_.find(probe.target);
-    if (at == records_.end() || !cluster::present(at->second.claim.state)) return;
+    if (at == records_.end() || !is_present(at->second.claim.state)) return;
     Claim claim = at->second.claim;
     claim.state = State::suspect;
     claim.by = self_.name;
@@ -309,16 +267,16 @@
     if (const auto at = records_.find(to);
         at != records_.end() &&
         (at->second.claim.state == State::suspect || at->second.claim.state == State::dead)) {
-        claims.push_back(brief(at->second.claim));
-        room -= std::min(room, size_of(claims.back()));
+        claims.push_back(compact(at->second.claim));
+        room -= std::min(room, encoded_size(claims.back()));
     }
     std::stable_sort(gossip_.begin(), gossip_.end(),
                      [](const Gossip& a, const Gossip& b) { return a.sent < b.sent; });
     const unsigned limit = parameters_.transmits(present());
     for (Gossip& gossip : gossip_) {
-        if (size_of(gossip.claim) > room) break;
+        if (encoded_size(gossip.claim) > room) break;
         if (!claims.empty() && claims.front().name == gossip.claim.name) continue;
-        room -= size_of(gossip.claim);
+        room -= encoded_size(gossip.claim);
         ++gossip.sent;
         claims.push_back(gossip.claim);
     }
@@ -328,7 +286,7 @@
 
 void Membership::pass_on(const Claim& claim) {
     std::erase_if(gossip_, [&](const Gossip& g) { return g.claim.name == claim.name; });
-    gossip_.push_front({brief(claim), 0});
+    gossip_.push_front({compact(claim), 0});
 }
 
 void Membership::receive(Millis now, const Message& message, const std::string& address, Effects& effects) {
@@ -391,8 +349,7 @@
     auto at = records_.find(claim.name);
     if (at == records_.end()) {
         // One never heard of that is no more is nobody's loss.
-        if (!cluster::present(claim.state) || claim.udp.empty() ||
-            records_.size() >= parameters_.members_most)
+        if (!is_present(claim.state) || claim.udp.empty() || records_.size() >= parameters_.members_most)
             return;
         Record record{claim, now};
         record.claim.state = State::alive;
@@ -415,7 +372,7 @@
             const bool reborn = claim.life != record.claim.life;
             if (before == State::suspect && !reborn) ++counters_.refuted;
             record = Record{claim, now};
-            if (!cluster::present(before) || reborn)
+            if (!is_present(before) || reborn)
                 effects.changes.push_back({"rejoined", claim.name, claim.incarnation, ""});
             else if (before == State::suspect)
                 effects.changes.push_back({"refuted", claim.name, claim.incarnation, ""});
@@ -423,7 +380,7 @@
             return;
         }
         case State::suspect:
-            if (!cluster::present(record.claim.state) && !newer) return;
+            if (!is_present(record.claim.state) && !newer) return;
             return accuse(now, record, claim, effects);
         case State::dead:
         case State::left:
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -14,73 +14,12 @@
 #include <string>
 #include <vector>
 
-#include "mothring/balancer.hpp"
+#include "cluster/claim.hpp"
+#include "cluster/message.hpp"
+#include "cluster/parameters.hpp"
 
 namespace mothring::cluster {
 
-enum class State : std::uint8_t { alive, suspect, dead, left };
-const char* name_of(State state);
-
-// What is said of a member. A greater incarnation, which only the member itself makes, overrides a lesser;
-// at the same one left overrides dead, dead suspect, and suspect alive: the greatest claim stands, in
-// whatever order they come. A life is one process: a restarted member has another `life`, and a greater
-// incarnation.
-struct Claim {
-    std::string name;
-    State state = State::alive;
-    std::uint64_t incarnation = 0, life = 0;
-    std::string udp, tcp;  // ADDRESS:PORT, where it listens
-    std::string version;   // of the program it runs
-    std::string by;        // suspect: who accuses
-};
-
-struct Message {
-    enum class Kind : std::uint8_t { ping, ack, ping_request, nack, gossip };
-    Kind kind = Kind::ping;
-    std::uint64_t sequence = 0;
-    std::string from, target;  // target: whom a ping is meant for, or a ping_request is about
-    std::vector<Claim> claims;
-};
-
-struct Parameters {
-    Millis period = 1000;              // of probes, SWIM's T'
-    double timeout_part = 0.5;         // of the period, for a direct ack; the rest is for the indirect ones
-    unsigned indirect = 3;             // members asked to probe, SWIM's k
-    double suspicion = 4;              // least timeout: this times log10 N periods (Lifeguard's alpha),
-    double suspicion_most = 6;         // and the greatest this times the least (beta)
-    unsigned retransmit = 4;           // a claim is passed on this times log10(N+1) times (SWIM's lambda)
-    unsigned awareness_most = 8;       // of Lifeguard's local health multiplier
-    std::size_t room = 1000;           // bytes of claims in a message
-    std::size_t members_most = 1024;   // records held
-    double stable_periods = 600;       // for so long one that died counts as expected,
-    double reconnect_periods = 86400;  // and is tried for to heal a partition
-    double sync_least_periods = 8;     // between full syncs; N/2 where that is more, so that a member's
-                                       // traffic does not grow with N
-    // The suspicion timeout with so many live members and confirmations (Lifeguard, 4.2), in ms.
-    Millis suspicion_timeout(std::size_t members, unsigned confirmations) const;
-    unsigned confirmations_wanted(std::size_t members) const;
-    unsigned transmits(std::size_t members) const;
-};
-
-// What is to be done and what was learnt.
-struct Effects {
-    struct Send {
-        std::string to;       // the member; empty where only the address is known
-        std::string address;  // an answer's: where the question came from; empty: the member's own
-        Message message;
-    };
-    struct Change {
-        // joined, suspect, refuted (by the suspect), dead, left, rejoined (another life), superseded (another
-        // process has this member's name), accused (this member is suspected, and says otherwise)
-        std::string what, name;
-        std::uint64_t incarnation = 0;
-        std::string by;
-    };
-    std::vector<Send> sends;
-    std::vector<Change> changes;
-    std::vector<std::string> syncs;  // members to exchange the whole state with
-};
-
 // This member's own view. `expected`: those it counts on, the ones that died not long ago among them;
 // `quorum`: more than half of these are present, so that what is shared by count may be.
 struct View {
