--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -113,7 +113,7 @@
         next_probe_ = now + parameters_.period * std::uniform_real_distribution<double>(0, 1)(random_);
         next_sync_ = now + parameters_.period * parameters_.sync_least_periods *
                                std::uniform_real_distribution<double>(0.5, 1)(random_);
-        pass_on(self_);
+        dissemination_.enqueue(self_);
     }
     // What others said while this process stood still is unread: nobody is failed for that time.
     const Millis late = now - next();
@@ -254,41 +254,16 @@
 
 // ---- Messages
 
+// One that is suspected or taken for dead is told so first of all, so that it can refute.
 void Membership::send(const std::string& to, const std::string& address, Message message, Effects& effects) {
-    message.claims = claims_for(to);
+    const auto receiver = records_.find(to);
+    const bool doubted = receiver != records_.end() && (receiver->second.claim.state == State::suspect ||
+                                                        receiver->second.claim.state == State::dead);
+    message.claims = dissemination_.piggyback(doubted ? &receiver->second.claim : nullptr, parameters_.room,
+                                              parameters_.transmits(present()));
     effects.sends.push_back({to, address, std::move(message)});
 }
 
-// Those passed on the fewest times first. To one that is suspected, or taken for dead, first of all that it
-// is (Lifeguard's buddy system), so that it can refute.
-std::vector<Claim> Membership::claims_for(const std::string& to) {
-    std::vector<Claim> claims;
-    std::size_t room = parameters_.room;
-    if (const auto at = records_.find(to);
-        at != records_.end() &&
-        (at->second.claim.state == State::suspect || at->second.claim.state == State::dead)) {
-        claims.push_back(compact(at->second.claim));
-        room -= std::min(room, encoded_size(claims.back()));
-    }
-    std::stable_sort(gossip_.begin(), gossip_.end(),
-                     [](const Gossip& a, const Gossip& b) { return a.sent < b.sent; });
-    const unsigned limit = parameters_.transmits(present());
-    for (Gossip& gossip : gossip_) {
-        if (encoded_size(gossip.claim) > room) break;
-        if (!claims.empty() && claims.front().name == gossip.claim.name) continue;
-        room -= encoded_size(gossip.claim);
-        ++gossip.sent;
-        claims.push_back(gossip.claim);
-    }
-    std::erase_if(gossip_, [&](const Gossip& g) { return g.sent >= limit; });
-    return claims;
-}
-
-void Membership::pass_on(const Claim& claim) {
-    std::erase_if(gossip_, [&](const Gossip& g) { return g.claim.name == claim.name; });
-    gossip_.push_front({compact(claim), 0});
-}
-
 void Membership::receive(Millis now, const Message& message, const std::string& address, Effects& effects) {
     if (superseded_ || message.from == self_.name) {
         // Another process with this member's name: only what it claims of the name counts.
@@ -358,7 +333,7 @@
                                            0, round_.size())(random_)),
                       claim.name);
         effects.changes.push_back({"joined", claim.name, claim.incarnation, ""});
-        pass_on(at->second.claim);
+        dissemination_.enqueue(at->second.claim);
         if (claim.state == State::suspect) accuse(now, at->second, claim, effects);
         return;
     }
@@ -376,7 +351,7 @@
                 effects.changes.push_back({"rejoined", claim.name, claim.incarnation, ""});
             else if (before == State::suspect)
                 effects.changes.push_back({"refuted", claim.name, claim.incarnation, ""});
-            pass_on(claim);
+            dissemination_.enqueue(claim);
             return;
         }
         case State::suspect:
@@ -395,7 +370,7 @@
     if (record.claim.state == State::suspect && record.claim.incarnation == claim.incarnation) {
         // Another accuser confirms it; only as many are passed on as shorten the timeout.
         if (record.accusers.size() > parameters_.confirmations_wanted(present())) return;
-        if (record.accusers.insert(claim.by).second) pass_on(claim);
+        if (record.accusers.insert(claim.by).second) dissemination_.enqueue(claim);
         return;
     }
     ++counters_.suspicions;
@@ -405,7 +380,7 @@
     record.accusers = {claim.by};
     record.suspected_at = record.since = now;
     effects.changes.push_back({"suspect", record.claim.name, claim.incarnation, claim.by});
-    pass_on(record.claim);
+    dissemination_.enqueue(record.claim);
     if (claim.by == self_.name) next_insist_ = std::max(next_insist_, now);
 }
 
@@ -416,7 +391,7 @@
     record.accusers.clear();
     effects.changes.push_back({state == State::left ? "left" : "dead", record.claim.name,
                                record.claim.incarnation, record.claim.by});
-    pass_on(record.claim);
+    dissemination_.enqueue(record.claim);
 }
 
 void Membership::apply_to_self(const Claim& claim, Effects& effects) {
@@ -428,7 +403,7 @@
         const bool ours = !joined_ || (claim.incarnation == self_.incarnation && self_.life > claim.life);
         if (ours) {
             self_.incarnation = claim.incarnation + 1;
-            pass_on(self_);
+            dissemination_.enqueue(self_);
         } else {
             superseded_ = true;
             probe_.reset();
@@ -443,7 +418,7 @@
         be_aware(1);
         effects.changes.push_back({"accused", self_.name, self_.incarnation, claim.by});
     }
-    pass_on(self_);
+    dissemination_.enqueue(self_);
 }
 
 void Membership::merge(Millis now, const std::vector<Claim>& claims, const std::string& by,
@@ -463,7 +438,7 @@
     if (left_ || superseded_) return;
     self_.state = State::left;
     self_.by.clear();
-    pass_on(self_);
+    dissemination_.enqueue(self_);
     for (const std::string& to : some(parameters_.transmits(present()), {}))
         send(to, "", {Message::Kind::gossip, 0, self_.name, to, {}}, effects);
     left_ = true;
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -6,7 +6,6 @@
 #pragma once
 
 #include <cstdint>
-#include <deque>
 #include <map>
 #include <optional>
 #include <random>
@@ -15,6 +14,7 @@
 #include <vector>
 
 #include "cluster/claim.hpp"
+#include "cluster/dissemination.hpp"
 #include "cluster/message.hpp"
 #include "cluster/parameters.hpp"
 
@@ -67,10 +67,6 @@
         Millis suspected_at = 0;
         bool expected = true;  // while dead
     };
-    struct Gossip {
-        Claim claim;
-        unsigned sent = 0;
-    };
     struct Probe {
         std::string target;
         std::uint64_t sequence = 0;
@@ -90,8 +86,6 @@
     void apply_to_self(const Claim& claim, Effects& effects);
     void accuse(Millis now, Record& record, const Claim& claim, Effects& effects);
     void kill(Millis now, Record& record, State state, Effects& effects);
-    void pass_on(const Claim& claim);
-    std::vector<Claim> claims_for(const std::string& to);
     void send(const std::string& to, const std::string& address, Message message, Effects& effects);
     void probe_next(Millis now, Effects& effects);
     void probe_failed(Millis now, Effects& effects);
@@ -106,7 +100,7 @@
     Parameters parameters_;
     std::mt19937_64 random_;
     std::map<std::string, Record> records_;  // of the others
-    std::deque<Gossip> gossip_;
+    DisseminationQueue dissemination_;
     std::vector<std::string> round_;  // whom to probe, in turn
     std::optional<Probe> probe_;
     std::vector<Relayed> relayed_;
