--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -17,7 +17,10 @@
 }  // namespace
 
 Membership::Membership(Claim self, Parameters parameters, std::uint64_t seed)
-    : self_(std::move(self)), parameters_(parameters), random_(seed) {
+    : self_(std::move(self)),
+      parameters_(parameters),
+      random_(seed),
+      local_health_(parameters.awareness_most) {
     self_.state = State::alive;
 }
 
@@ -119,7 +122,7 @@
     const Millis late = now - next();
     if (late > parameters_.period * kLatePart) {
         ++counters_.late_ticks;
-        be_aware(1);
+        local_health_.adjust(1);
         if (probe_) {
             probe_->ask_others_at += late;
             probe_->fails_at += late;
@@ -188,11 +191,6 @@
 
 // ---- Probes
 
-void Membership::be_aware(int change) {
-    const int value = static_cast<int>(awareness_) + change;
-    awareness_ = static_cast<unsigned>(std::clamp(value, 0, static_cast<int>(parameters_.awareness_most)));
-}
-
 std::vector<std::string> Membership::some(std::size_t count, const std::set<std::string>& except) {
     std::vector<std::string> names;
     for (const auto& [name, record] : records_)
@@ -204,7 +202,7 @@
 
 // SWIM 4.3: each in turn, in an order drawn anew each round, so that every member is probed within a round.
 void Membership::probe_next(Millis now, Effects& effects) {
-    const Millis slowness = 1 + awareness_;
+    const Millis slowness = local_health_.multiplier();
     next_probe_ = now + parameters_.period * slowness;
     std::string target;
     for (int rounds = 0; rounds < 2 && target.empty(); ++rounds) {
@@ -241,9 +239,9 @@
     ++counters_.probes_failed;
     // Lifeguard 4.1: those asked who did not even say nack show that it may be us.
     if (probe.nacks_due > 0)
-        be_aware(static_cast<int>(probe.nacks_due - std::min(probe.nacks, probe.nacks_due)));
+        local_health_.adjust(static_cast<int>(probe.nacks_due - std::min(probe.nacks, probe.nacks_due)));
     else
-        be_aware(1);
+        local_health_.adjust(1);
     const auto at = records_.find(probe.target);
     if (at == records_.end() || !is_present(at->second.claim.state)) return;
     Claim claim = at->second.claim;
@@ -296,7 +294,7 @@
         }
         case Message::Kind::ack:
             if (probe_ && probe_->sequence == message.sequence) {
-                be_aware(-1);
+                local_health_.adjust(-1);
                 probe_.reset();
             } else if (const auto at =
                            std::find_if(relayed_.begin(), relayed_.end(),
@@ -415,7 +413,7 @@
     self_.incarnation = claim.incarnation + 1;
     if (claim.life == self_.life) {
         ++counters_.accused;
-        be_aware(1);
+        local_health_.adjust(1);
         effects.changes.push_back({"accused", self_.name, self_.incarnation, claim.by});
     }
     dissemination_.enqueue(self_);
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -15,6 +15,7 @@
 
 #include "cluster/claim.hpp"
 #include "cluster/dissemination.hpp"
+#include "cluster/local_health.hpp"
 #include "cluster/message.hpp"
 #include "cluster/parameters.hpp"
 
@@ -55,7 +56,7 @@
     bool superseded() const { return superseded_; }
     std::vector<Claim> members() const;  // all records, this member's first
     std::optional<Claim> member(const std::string& name) const;
-    unsigned awareness() const { return awareness_; }
+    unsigned awareness() const { return local_health_.score(); }
     const Counters& counters() const { return counters_; }
     const Parameters& parameters() const { return parameters_; }
 
@@ -90,7 +91,6 @@
     void probe_next(Millis now, Effects& effects);
     void probe_failed(Millis now, Effects& effects);
     void insist(Millis now, Effects& effects);
-    void be_aware(int change);
     std::vector<std::string> some(std::size_t count, const std::set<std::string>& except);
     void choose_syncs(Effects& effects);
     void forget(Millis now);
@@ -99,6 +99,7 @@
     Claim self_;
     Parameters parameters_;
     std::mt19937_64 random_;
+    LocalHealth local_health_;
     std::map<std::string, Record> records_;  // of the others
     DisseminationQueue dissemination_;
     std::vector<std::string> round_;  // whom to probe, in turn
@@ -106,7 +107,6 @@
     std::vector<Relayed> relayed_;
     std::uint64_t sequence_ = 0;
     Millis next_probe_ = 0, next_sync_ = 0, next_insist_ = 0;
-    unsigned awareness_ = 0;
     bool started_ = false, left_ = false, superseded_ = false, joined_ = false;
     Counters counters_;
 };
