--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -86,22 +86,18 @@
 
 // ---- Time
 
-Millis Membership::suspicion_ends(const Record& record) const {
-    const auto others = static_cast<unsigned>(record.accusers.empty() ? 0 : record.accusers.size() - 1);
-    return record.suspected_at + parameters_.suspicion_timeout(present(), others);
-}
-
 Millis Membership::next() const {
     Millis at = next_probe_;
     if (probe_) at = std::min(at, probe_->asked_others ? probe_->fails_at : probe_->ask_others_at);
     at = std::min(at, next_sync_);
     bool accusing = false;
     for (const Relayed& r : relayed_) at = std::min(at, r.nacked ? r.ends_at : r.nack_at);
-    for (const auto& [name, record] : records_)
-        if (record.claim.state == State::suspect) {
-            at = std::min(at, suspicion_ends(record));
-            accusing |= record.accusers.contains(self_.name);
-        }
+    const std::size_t members = present();
+    for (const auto& [name, record] : records_) {
+        if (!record.suspicion) continue;
+        at = std::min(at, record.suspicion->expires_at(parameters_, members));
+        accusing |= record.suspicion->accused_by(self_.name);
+    }
     return accusing ? std::min(at, next_insist_) : at;
 }
 
@@ -130,7 +126,7 @@
         next_probe_ += late;
         next_insist_ += late;
         for (auto& [name, record] : records_)
-            if (record.claim.state == State::suspect) record.suspected_at += late;
+            if (record.suspicion) record.suspicion->postpone(late);
         for (Relayed& r : relayed_) r.nack_at += late, r.ends_at += late;
     }
     for (Relayed& r : relayed_) {
@@ -150,10 +146,12 @@
     if (probe_ && probe_->fails_at <= now) probe_failed(now, effects);
     if (next_insist_ <= now) insist(now, effects);
     if (next_probe_ <= now) probe_next(now, effects);
-    std::vector<std::string> over;
+    std::vector<std::string> expired;
+    const std::size_t members = present();
     for (const auto& [name, record] : records_)
-        if (record.claim.state == State::suspect && suspicion_ends(record) <= now) over.push_back(name);
-    for (const std::string& name : over) {
+        if (record.suspicion && record.suspicion->expires_at(parameters_, members) <= now)
+            expired.push_back(name);
+    for (const std::string& name : expired) {
         ++counters_.deaths;
         records_.at(name).claim.by = self_.name;
         kill(now, records_.at(name), State::dead, effects);
@@ -230,7 +228,7 @@
 void Membership::insist(Millis now, Effects& effects) {
     next_insist_ = now + parameters_.period / 2;
     for (const auto& [name, record] : records_)
-        if (record.claim.state == State::suspect && record.accusers.contains(self_.name))
+        if (record.suspicion && record.suspicion->accused_by(self_.name))
             send(name, "", {Message::Kind::ping, ++sequence_, self_.name, name, {}}, effects);
 }
 
@@ -365,18 +363,18 @@
 }
 
 void Membership::accuse(Millis now, Record& record, const Claim& claim, Effects& effects) {
-    if (record.claim.state == State::suspect && record.claim.incarnation == claim.incarnation) {
+    if (record.suspicion && record.claim.incarnation == claim.incarnation) {
         // Another accuser confirms it; only as many are passed on as shorten the timeout.
-        if (record.accusers.size() > parameters_.confirmations_wanted(present())) return;
-        if (record.accusers.insert(claim.by).second) dissemination_.enqueue(claim);
+        if (record.suspicion->confirm(claim.by, parameters_.confirmations_wanted(present())))
+            dissemination_.enqueue(claim);
         return;
     }
     ++counters_.suspicions;
     record.claim.incarnation = claim.incarnation;
     record.claim.state = State::suspect;
     record.claim.by = claim.by;
-    record.accusers = {claim.by};
-    record.suspected_at = record.since = now;
+    record.suspicion = Suspicion(claim.by, now);
+    record.since = now;
     effects.changes.push_back({"suspect", record.claim.name, claim.incarnation, claim.by});
     dissemination_.enqueue(record.claim);
     if (claim.by == self_.name) next_insist_ = std::max(next_insist_, now);
@@ -386,7 +384,7 @@
     record.claim.state = state;
     record.since = now;
     record.expected = true;
-    record.accusers.clear();
+    record.suspicion.reset();
     effects.changes.push_back({state == State::left ? "left" : "dead", record.claim.name,
                                record.claim.incarnation, record.claim.by});
     dissemination_.enqueue(record.claim);
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -18,6 +18,7 @@
 #include "cluster/local_health.hpp"
 #include "cluster/message.hpp"
 #include "cluster/parameters.hpp"
+#include "cluster/suspicion.hpp"
 
 namespace mothring::cluster {
 
@@ -63,10 +64,9 @@
 private:
     struct Record {
         Claim claim;
-        Millis since = 0;  // in this state
-        std::set<std::string> accusers{};
-        Millis suspected_at = 0;
-        bool expected = true;  // while dead
+        Millis since = 0;                      // in this state
+        std::optional<Suspicion> suspicion{};  // exactly while `suspect`
+        bool expected = true;                  // while dead
     };
     struct Probe {
         std::string target;
@@ -94,7 +94,6 @@
     std::vector<std::string> some(std::size_t count, const std::set<std::string>& except);
     void choose_syncs(Effects& effects);
     void forget(Millis now);
-    Millis suspicion_ends(const Record& record) const;
 
     Claim self_;
     Parameters parameters_;
