--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -24,51 +24,24 @@
     self_.state = State::alive;
 }
 
-std::size_t Membership::present() const {
-    return 1 +
-           static_cast<std::size_t>(std::count_if(records_.begin(), records_.end(), [](const auto& entry) {
-               return is_present(entry.second.claim.state);
-           }));
-}
-
 View Membership::view() const {
-    View view;
+    View view = table_.view();
     view.stands = !superseded_;
-    view.alive = 1;
-    for (const auto& [name, record] : records_) {
-        switch (record.claim.state) {
-            case State::alive:
-                ++view.alive;
-                break;
-            case State::suspect:
-                ++view.suspect;
-                break;
-            case State::dead:
-                ++view.dead;
-                break;
-            case State::left:
-                ++view.left;
-                break;
-        }
-    }
-    view.expected = view.present();
-    for (const auto& [name, record] : records_)
-        view.expected += record.claim.state == State::dead && record.expected;
     return view;
 }
 
-double Membership::sync_periods() const { return parameters_.sync_periods(present()); }
+double Membership::sync_periods() const { return parameters_.sync_periods(table_.present()); }
 
 std::vector<Claim> Membership::members() const {
     std::vector<Claim> all{self_};
-    for (const auto& [name, record] : records_) all.push_back(record.claim);
+    for (const auto& [name, member] : table_) all.push_back(member.claim);
     return all;
 }
 
 std::optional<Claim> Membership::member(const std::string& name) const {
     if (name == self_.name) return self_;
-    const auto at = records_.find(name);
-    return at == records_.end() ? std::nullopt : std::optional(at->second.claim);
+    const Member* const member = table_.find(name);
+    return member ? std::optional(member->claim) : std::nullopt;
 }
 
 // Of those present only: what one has forgotten of the gone and another not is nothing to talk about.
@@ -92,11 +65,11 @@
     at = std::min(at, next_sync_);
     bool accusing = false;
     for (const Relayed& r : relayed_) at = std::min(at, r.nacked ? r.ends_at : r.nack_at);
-    const std::size_t members = present();
-    for (const auto& [name, record] : records_) {
-        if (!record.suspicion) continue;
-        at = std::min(at, record.suspicion->expires_at(parameters_, members));
-        accusing |= record.suspicion->accused_by(self_.name);
+    const std::size_t members = table_.present();
+    for (const auto& [name, member] : table_) {
+        if (!member.suspicion) continue;
+        at = std::min(at, member.suspicion->expires_at(parameters_, members));
+        accusing |= member.suspicion->accused_by(self_.name);
     }
     return accusing ? std::min(at, next_insist_) : at;
 }
@@ -125,8 +98,7 @@
         }
         next_probe_ += late;
         next_insist_ += late;
-        for (auto& [name, record] : records_)
-            if (record.suspicion) record.suspicion->postpone(late);
+        table_.postpone_suspicions(late);
         for (Relayed& r : relayed_) r.nack_at += late, r.ends_at += late;
     }
     for (Relayed& r : relayed_) {
@@ -137,7 +109,7 @@
     std::erase_if(relayed_, [&](const Relayed& r) { return r.ends_at <= now; });
     if (probe_ && !probe_->asked_others && probe_->ask_others_at <= now) {
         probe_->asked_others = true;
-        for (const std::string& helper : some(parameters_.indirect, {probe_->target})) {
+        for (const std::string& helper : table_.sample(parameters_.indirect, {probe_->target}, random_)) {
             ++probe_->nacks_due;
             send(helper, "", {Message::Kind::ping_request, probe_->sequence, self_.name, probe_->target, {}},
                  effects);
@@ -146,19 +118,15 @@
     if (probe_ && probe_->fails_at <= now) probe_failed(now, effects);
     if (next_insist_ <= now) insist(now, effects);
     if (next_probe_ <= now) probe_next(now, effects);
-    std::vector<std::string> expired;
-    const std::size_t members = present();
-    for (const auto& [name, record] : records_)
-        if (record.suspicion && record.suspicion->expires_at(parameters_, members) <= now)
-            expired.push_back(name);
-    for (const std::string& name : expired) {
+    for (const std::string& name : table_.expired_suspects(now, parameters_)) {
+        Member& member = *table_.find(name);
         ++counters_.deaths;
-        records_.at(name).claim.by = self_.name;
-        kill(now, records_.at(name), State::dead, effects);
+        member.claim.by = self_.name;
+        kill(now, member, State::dead, effects);
     }
     if (next_sync_ <= now) {
         choose_syncs(effects);
-        forget(now);
+        table_.expire(now, parameters_);
         next_sync_ = now + parameters_.period * sync_periods() *
                                std::uniform_real_distribution<double>(0.75, 1.25)(random_);
     }
@@ -166,38 +134,15 @@
 
 // One live member, and one of those that died, as it may only have been cut off.
 void Membership::choose_syncs(Effects& effects) {
-    effects.syncs = some(1, {});
-    std::vector<std::string> gone;
-    for (const auto& [name, record] : records_)
-        if (record.claim.state == State::dead) gone.push_back(name);
-    if (!gone.empty())
-        effects.syncs.push_back(
-            gone[std::uniform_int_distribution<std::size_t>(0, gone.size() - 1)(random_)]);
-}
-
-void Membership::forget(Millis now) {
-    const auto periods = [&](const Record& r) { return (now - r.since) / parameters_.period; };
-    for (auto& [name, record] : records_)
-        if (record.claim.state == State::dead && periods(record) > parameters_.stable_periods)
-            record.expected = false;
-    std::erase_if(records_, [&](const auto& entry) {
-        const Record& record = entry.second;
-        return (record.claim.state == State::left && periods(record) > parameters_.stable_periods) ||
-               (record.claim.state == State::dead && periods(record) > parameters_.reconnect_periods);
-    });
+    effects.syncs = table_.sample(1, {}, random_);
+    const std::vector<std::string> dead = table_.dead();
+    if (dead.empty()) return;
+    std::uniform_int_distribution<std::size_t> index(0, dead.size() - 1);
+    effects.syncs.push_back(dead[index(random_)]);
 }
 
 // ---- Probes
 
-std::vector<std::string> Membership::some(std::size_t count, const std::set<std::string>& except) {
-    std::vector<std::string> names;
-    for (const auto& [name, record] : records_)
-        if (is_present(record.claim.state) && !except.contains(name)) names.push_back(name);
-    std::shuffle(names.begin(), names.end(), random_);
-    if (names.size() > count) names.resize(count);
-    return names;
-}
-
 // SWIM 4.3: each in turn, in an order drawn anew each round, so that every member is probed within a round.
 void Membership::probe_next(Millis now, Effects& effects) {
     const Millis slowness = local_health_.multiplier();
@@ -205,11 +150,10 @@
     std::string target;
     for (int rounds = 0; rounds < 2 && target.empty(); ++rounds) {
         while (!round_.empty() && target.empty()) {
-            const auto at = records_.find(round_.back());
-            if (at != records_.end() && is_present(at->second.claim.state)) target = round_.back();
+            if (table_.find_present(round_.back())) target = round_.back();
             round_.pop_back();
         }
-        if (target.empty()) round_ = some(records_.size(), {});
+        if (target.empty()) round_ = table_.sample(table_.size(), {}, random_);
     }
     if (target.empty()) return;
     ++counters_.probes;
@@ -227,9 +171,8 @@
 // fleet, and gossip alone may not get through in time both ways.
 void Membership::insist(Millis now, Effects& effects) {
     next_insist_ = now + parameters_.period / 2;
-    for (const auto& [name, record] : records_)
-        if (record.suspicion && record.suspicion->accused_by(self_.name))
-            send(name, "", {Message::Kind::ping, ++sequence_, self_.name, name, {}}, effects);
+    for (const std::string& name : table_.accused_by(self_.name))
+        send(name, "", {Message::Kind::ping, ++sequence_, self_.name, name, {}}, effects);
 }
 
 void Membership::probe_failed(Millis now, Effects& effects) {
@@ -240,23 +183,23 @@
         local_health_.adjust(static_cast<int>(probe.nacks_due - std::min(probe.nacks, probe.nacks_due)));
     else
         local_health_.adjust(1);
-    const auto at = records_.find(probe.target);
-    if (at == records_.end() || !is_present(at->second.claim.state)) return;
-    Claim claim = at->second.claim;
+    Member* const member = table_.find(probe.target);
+    if (!member || !is_present(member->claim.state)) return;
+    Claim claim = member->claim;
     claim.state = State::suspect;
     claim.by = self_.name;
-    accuse(now, at->second, claim, effects);
+    accuse(now, *member, claim, effects);
 }
 
 // ---- Messages
 
 // One that is suspected or taken for dead is told so first of all, so that it can refute.
 void Membership::send(const std::string& to, const std::string& address, Message message, Effects& effects) {
-    const auto receiver = records_.find(to);
-    const bool doubted = receiver != records_.end() && (receiver->second.claim.state == State::suspect ||
-                                                        receiver->second.claim.state == State::dead);
-    message.claims = dissemination_.piggyback(doubted ? &receiver->second.claim : nullptr, parameters_.room,
-                                              parameters_.transmits(present()));
+    const Member* const receiver = table_.find(to);
+    const bool doubted =
+        receiver && (receiver->claim.state == State::suspect || receiver->claim.state == State::dead);
+    message.claims = dissemination_.piggyback(doubted ? &receiver->claim : nullptr, parameters_.room,
+                                              parameters_.transmits(table_.present()));
     effects.sends.push_back({to, address, std::move(message)});
 }
 
@@ -276,8 +219,7 @@
                      {Message::Kind::ack, message.sequence, self_.name, message.from, {}}, effects);
             break;
         case Message::Kind::ping_request: {
-            const auto at = records_.find(message.target);
-            if (at == records_.end() || relayed_.size() >= parameters_.members_most) break;
+            if (!table_.find(message.target) || relayed_.size() >= parameters_.members_most) break;
             Relayed r;
             r.sequence = ++sequence_;
             r.asked_sequence = message.sequence;
@@ -314,26 +256,24 @@
 
 // ---- Claims
 
+// One never heard of that is no more is nobody's loss.
+void Membership::add(Millis now, const Claim& claim, Effects& effects) {
+    if (!is_present(claim.state) || claim.udp.empty() || table_.size() >= parameters_.members_most) return;
+    Member& member = table_.insert({claim, now});
+    member.claim.state = State::alive;
+    std::uniform_int_distribution<std::size_t> position(0, round_.size());
+    round_.insert(round_.begin() + static_cast<std::ptrdiff_t>(position(random_)), claim.name);
+    effects.changes.push_back({"joined", claim.name, claim.incarnation, ""});
+    dissemination_.enqueue(member.claim);
+    if (claim.state == State::suspect) accuse(now, member, claim, effects);
+}
+
 void Membership::apply(Millis now, const Claim& claim, Effects& effects) {
     if (claim.name.empty()) return;
     if (claim.name == self_.name) return apply_to_self(claim, effects);
-    auto at = records_.find(claim.name);
-    if (at == records_.end()) {
-        // One never heard of that is no more is nobody's loss.
-        if (!is_present(claim.state) || claim.udp.empty() || records_.size() >= parameters_.members_most)
-            return;
-        Record record{claim, now};
-        record.claim.state = State::alive;
-        at = records_.emplace(claim.name, std::move(record)).first;
-        round_.insert(round_.begin() + static_cast<std::ptrdiff_t>(std::uniform_int_distribution<std::size_t>(
-                                           0, round_.size())(random_)),
-                      claim.name);
-        effects.changes.push_back({"joined", claim.name, claim.incarnation, ""});
-        dissemination_.enqueue(at->second.claim);
-        if (claim.state == State::suspect) accuse(now, at->second, claim, effects);
-        return;
-    }
-    Record& record = at->second;
+    Member* const member = table_.find(claim.name);
+    if (!member) return add(now, claim, effects);
+    Member& record = *member;
     const bool newer = claim.incarnation > record.claim.incarnation;
     if (!newer && claim.incarnation != record.claim.incarnation) return;
     switch (claim.state) {
@@ -342,7 +282,7 @@
             const State before = record.claim.state;
             const bool reborn = claim.life != record.claim.life;
             if (before == State::suspect && !reborn) ++counters_.refuted;
-            record = Record{claim, now};
+            record = Member{claim, now};
             if (!is_present(before) || reborn)
                 effects.changes.push_back({"rejoined", claim.name, claim.incarnation, ""});
             else if (before == State::suspect)
@@ -362,10 +302,10 @@
     }
 }
 
-void Membership::accuse(Millis now, Record& record, const Claim& claim, Effects& effects) {
+void Membership::accuse(Millis now, Member& record, const Claim& claim, Effects& effects) {
     if (record.suspicion && record.claim.incarnation == claim.incarnation) {
         // Another accuser confirms it; only as many are passed on as shorten the timeout.
-        if (record.suspicion->confirm(claim.by, parameters_.confirmations_wanted(present())))
+        if (record.suspicion->confirm(claim.by, parameters_.confirmations_wanted(table_.present())))
             dissemination_.enqueue(claim);
         return;
     }
@@ -380,7 +320,7 @@
     if (claim.by == self_.name) next_insist_ = std::max(next_insist_, now);
 }
 
-void Membership::kill(Millis now, Record& record, State state, Effects& effects) {
+void Membership::kill(Millis now, Member& record, State state, Effects& effects) {
     record.claim.state = state;
     record.since = now;
     record.expected = true;
@@ -435,7 +375,7 @@
     self_.state = State::left;
     self_.by.clear();
     dissemination_.enqueue(self_);
-    for (const std::string& to : some(parameters_.transmits(present()), {}))
+    for (const std::string& to : table_.sample(parameters_.transmits(table_.present()), {}, random_))
         send(to, "", {Message::Kind::gossip, 0, self_.name, to, {}}, effects);
     left_ = true;
     probe_.reset();
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -6,31 +6,20 @@
 #pragma once
 
 #include <cstdint>
-#include <map>
 #include <optional>
 #include <random>
-#include <set>
 #include <string>
 #include <vector>
 
 #include "cluster/claim.hpp"
 #include "cluster/dissemination.hpp"
 #include "cluster/local_health.hpp"
+#include "cluster/member_table.hpp"
 #include "cluster/message.hpp"
 #include "cluster/parameters.hpp"
-#include "cluster/suspicion.hpp"
 
 namespace mothring::cluster {
 
-// This member's own view. `expected`: those it counts on, the ones that died not long ago among them;
-// `quorum`: more than half of these are present, so that what is shared by count may be.
-struct View {
-    std::size_t alive = 0, suspect = 0, dead = 0, left = 0, expected = 0;
-    bool stands = true;  // false: it is not kept up any more (superseded)
-    std::size_t present() const { return alive + suspect; }
-    bool quorum() const { return stands && 2 * present() > expected; }
-};
-
 class Membership {
 public:
     struct Counters {
@@ -62,12 +51,6 @@
     const Parameters& parameters() const { return parameters_; }
 
 private:
-    struct Record {
-        Claim claim;
-        Millis since = 0;                      // in this state
-        std::optional<Suspicion> suspicion{};  // exactly while `suspect`
-        bool expected = true;                  // while dead
-    };
     struct Probe {
         std::string target;
         std::uint64_t sequence = 0;
@@ -82,24 +65,22 @@
         bool nacked = false;
     };
 
-    std::size_t present() const;
+    void add(Millis now, const Claim& claim, Effects& effects);
     void apply(Millis now, const Claim& claim, Effects& effects);
     void apply_to_self(const Claim& claim, Effects& effects);
-    void accuse(Millis now, Record& record, const Claim& claim, Effects& effects);
-    void kill(Millis now, Record& record, State state, Effects& effects);
+    void accuse(Millis now, Member& member, const Claim& claim, Effects& effects);
+    void kill(Millis now, Member& member, State state, Effects& effects);
     void send(const std::string& to, const std::string& address, Message message, Effects& effects);
     void probe_next(Millis now, Effects& effects);
     void probe_failed(Millis now, Effects& effects);
     void insist(Millis now, Effects& effects);
-    std::vector<std::string> some(std::size_t count, const std::set<std::string>& except);
     void choose_syncs(Effects& effects);
-    void forget(Millis now);
 
     Claim self_;
     Parameters parameters_;
     std::mt19937_64 random_;
     LocalHealth local_health_;
-    std::map<std::string, Record> records_;  // of the others
+    MemberTable table_;
     DisseminationQueue dissemination_;
     std::vector<std::string> round_;  // whom to probe, in turn
     std::optional<Probe> probe_;
