--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -20,7 +20,8 @@
     : self_(std::move(self)),
       parameters_(parameters),
       random_(seed),
-      local_health_(parameters.awareness_most) {
+      local_health_(parameters.awareness_most),
+      prober_(parameters) {
     self_.state = State::alive;
 }
 
@@ -60,9 +61,7 @@
 // ---- Time
 
 Millis Membership::next() const {
-    Millis at = next_probe_;
-    if (probe_) at = std::min(at, probe_->asked_others ? probe_->fails_at : probe_->ask_others_at);
-    at = std::min(at, next_sync_);
+    Millis at = std::min(prober_.next(), next_sync_);
     bool accusing = false;
     for (const Relayed& r : relayed_) at = std::min(at, r.nacked ? r.ends_at : r.nack_at);
     const std::size_t members = table_.present();
@@ -76,13 +75,14 @@
 
 void Membership::tick(Millis now, Effects& effects) {
     if (left_ || superseded_) {
-        next_probe_ = next_sync_ = now + parameters_.period;
+        prober_.begin_at(now + parameters_.period);
+        next_sync_ = now + parameters_.period;
         return;
     }
     if (!started_) {
         started_ = true;
         // Spread over a period, so that members started together do not probe together.
-        next_probe_ = now + parameters_.period * std::uniform_real_distribution<double>(0, 1)(random_);
+        prober_.begin_at(now + parameters_.period * std::uniform_real_distribution<double>(0, 1)(random_));
         next_sync_ = now + parameters_.period * parameters_.sync_least_periods *
                                std::uniform_real_distribution<double>(0.5, 1)(random_);
         dissemination_.enqueue(self_);
@@ -92,11 +92,7 @@
     if (late > parameters_.period * kLatePart) {
         ++counters_.late_ticks;
         local_health_.adjust(1);
-        if (probe_) {
-            probe_->ask_others_at += late;
-            probe_->fails_at += late;
-        }
-        next_probe_ += late;
+        prober_.postpone(late);
         next_insist_ += late;
         table_.postpone_suspicions(late);
         for (Relayed& r : relayed_) r.nack_at += late, r.ends_at += late;
@@ -107,17 +103,10 @@
         send(r.asker, r.address, {Message::Kind::nack, r.asked_sequence, self_.name, r.asker, {}}, effects);
     }
     std::erase_if(relayed_, [&](const Relayed& r) { return r.ends_at <= now; });
-    if (probe_ && !probe_->asked_others && probe_->ask_others_at <= now) {
-        probe_->asked_others = true;
-        for (const std::string& helper : table_.sample(parameters_.indirect, {probe_->target}, random_)) {
-            ++probe_->nacks_due;
-            send(helper, "", {Message::Kind::ping_request, probe_->sequence, self_.name, probe_->target, {}},
-                 effects);
-        }
-    }
-    if (probe_ && probe_->fails_at <= now) probe_failed(now, effects);
+    if (Prober::Probe* const probe = prober_.take_timeout(now)) ask_others(*probe, effects);
+    if (const auto failed = prober_.take_failed(now)) probe_failed(now, *failed, effects);
     if (next_insist_ <= now) insist(now, effects);
-    if (next_probe_ <= now) probe_next(now, effects);
+    if (prober_.due(now)) probe_next(now, effects);
     for (const std::string& name : table_.expired_suspects(now, parameters_)) {
         Member& member = *table_.find(name);
         ++counters_.deaths;
@@ -143,27 +132,20 @@
 
 // ---- Probes
 
-// SWIM 4.3: each in turn, in an order drawn anew each round, so that every member is probed within a round.
 void Membership::probe_next(Millis now, Effects& effects) {
-    const Millis slowness = local_health_.multiplier();
-    next_probe_ = now + parameters_.period * slowness;
-    std::string target;
-    for (int rounds = 0; rounds < 2 && target.empty(); ++rounds) {
-        while (!round_.empty() && target.empty()) {
-            if (table_.find_present(round_.back())) target = round_.back();
-            round_.pop_back();
-        }
-        if (target.empty()) round_ = table_.sample(table_.size(), {}, random_);
-    }
-    if (target.empty()) return;
+    const Prober::Probe* const probe =
+        prober_.begin(now, local_health_.multiplier(), sequence_, table_, random_);
+    if (!probe) return;
     ++counters_.probes;
-    Probe probe;
-    probe.target = target;
-    probe.sequence = ++sequence_;
-    probe.ask_others_at = now + parameters_.period * parameters_.timeout_part * slowness;
-    probe.fails_at = next_probe_;
-    probe_ = probe;
-    send(target, "", {Message::Kind::ping, probe.sequence, self_.name, target, {}}, effects);
+    send(probe->target, "", {Message::Kind::ping, probe->sequence, self_.name, probe->target, {}}, effects);
+}
+
+void Membership::ask_others(Prober::Probe& probe, Effects& effects) {
+    for (const std::string& helper : table_.sample(parameters_.indirect, {probe.target}, random_)) {
+        ++probe.nacks_due;
+        send(helper, "", {Message::Kind::ping_request, probe.sequence, self_.name, probe.target, {}},
+             effects);
+    }
 }
 
 // An accuser goes on asking the one it accuses, twice a period: its accusation goes along (the buddy system),
@@ -175,14 +157,9 @@
         send(name, "", {Message::Kind::ping, ++sequence_, self_.name, name, {}}, effects);
 }
 
-void Membership::probe_failed(Millis now, Effects& effects) {
-    const Probe probe = *std::exchange(probe_, std::nullopt);
+void Membership::probe_failed(Millis now, const Prober::Probe& probe, Effects& effects) {
     ++counters_.probes_failed;
-    // Lifeguard 4.1: those asked who did not even say nack show that it may be us.
-    if (probe.nacks_due > 0)
-        local_health_.adjust(static_cast<int>(probe.nacks_due - std::min(probe.nacks, probe.nacks_due)));
-    else
-        local_health_.adjust(1);
+    local_health_.adjust(probe.health_penalty());
     Member* const member = table_.find(probe.target);
     if (!member || !is_present(member->claim.state)) return;
     Claim claim = member->claim;
@@ -233,9 +210,8 @@
             break;
         }
         case Message::Kind::ack:
-            if (probe_ && probe_->sequence == message.sequence) {
+            if (prober_.acknowledge(message.sequence)) {
                 local_health_.adjust(-1);
-                probe_.reset();
             } else if (const auto at =
                            std::find_if(relayed_.begin(), relayed_.end(),
                                         [&](const Relayed& r) { return r.sequence == message.sequence; });
@@ -247,7 +223,7 @@
             }
             break;
         case Message::Kind::nack:
-            if (probe_ && probe_->sequence == message.sequence) ++probe_->nacks;
+            prober_.nack(message.sequence);
             break;
         case Message::Kind::gossip:
             break;
@@ -261,8 +237,7 @@
     if (!is_present(claim.state) || claim.udp.empty() || table_.size() >= parameters_.members_most) return;
     Member& member = table_.insert({claim, now});
     member.claim.state = State::alive;
-    std::uniform_int_distribution<std::size_t> position(0, round_.size());
-    round_.insert(round_.begin() + static_cast<std::ptrdiff_t>(position(random_)), claim.name);
+    prober_.add(claim.name, random_);
     effects.changes.push_back({"joined", claim.name, claim.incarnation, ""});
     dissemination_.enqueue(member.claim);
     if (claim.state == State::suspect) accuse(now, member, claim, effects);
@@ -342,7 +317,7 @@
             dissemination_.enqueue(self_);
         } else {
             superseded_ = true;
-            probe_.reset();
+            prober_.cancel();
             effects.changes.push_back({"superseded", self_.name, claim.incarnation, ""});
         }
         return;
@@ -378,8 +353,9 @@
     for (const std::string& to : table_.sample(parameters_.transmits(table_.present()), {}, random_))
         send(to, "", {Message::Kind::gossip, 0, self_.name, to, {}}, effects);
     left_ = true;
-    probe_.reset();
-    next_probe_ = next_sync_ = now + parameters_.period;
+    prober_.cancel();
+    prober_.begin_at(now + parameters_.period);
+    next_sync_ = now + parameters_.period;
 }
 
 }  // namespace mothring::cluster
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -17,6 +17,7 @@
 #include "cluster/member_table.hpp"
 #include "cluster/message.hpp"
 #include "cluster/parameters.hpp"
+#include "cluster/prober.hpp"
 
 namespace mothring::cluster {
 
@@ -51,13 +52,6 @@
     const Parameters& parameters() const { return parameters_; }
 
 private:
-    struct Probe {
-        std::string target;
-        std::uint64_t sequence = 0;
-        Millis ask_others_at = 0, fails_at = 0;
-        bool asked_others = false;
-        unsigned nacks_due = 0, nacks = 0;
-    };
     struct Relayed {  // a probe made for another member
         std::uint64_t sequence = 0, asked_sequence = 0;
         std::string asker, address;
@@ -72,7 +66,8 @@
     void kill(Millis now, Member& member, State state, Effects& effects);
     void send(const std::string& to, const std::string& address, Message message, Effects& effects);
     void probe_next(Millis now, Effects& effects);
-    void probe_failed(Millis now, Effects& effects);
+    void ask_others(Prober::Probe& probe, Effects& effects);
+    void probe_failed(Millis now, const Prober::Probe& probe, Effects& effects);
     void insist(Millis now, Effects& effects);
     void choose_syncs(Effects& effects);
 
@@ -82,11 +77,10 @@
     LocalHealth local_health_;
     MemberTable table_;
     DisseminationQueue dissemination_;
-    std::vector<std::string> round_;  // whom to probe, in turn
-    std::optional<Probe> probe_;
+    Prober prober_;
     std::vector<Relayed> relayed_;
     std::uint64_t sequence_ = 0;
-    Millis next_probe_ = 0, next_sync_ = 0, next_insist_ = 0;
+    Millis next_sync_ = 0, next_insist_ = 0;
     bool started_ = false, left_ = false, superseded_ = false, joined_ = false;
     Counters counters_;
 };
