--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -10,7 +10,6 @@
 
 namespace {
 
-constexpr double kNackPart = 0.8;  // of the time for an ack, after which a probe made for another is a nack
 constexpr double kLatePart =
     0.5;  // of the period: a tick later than this shows that this process was stalled
 
@@ -21,7 +20,8 @@
       parameters_(parameters),
       random_(seed),
       local_health_(parameters.awareness_most),
-      prober_(parameters) {
+      prober_(parameters),
+      probe_relay_(parameters) {
     self_.state = State::alive;
 }
 
@@ -61,9 +61,8 @@
 // ---- Time
 
 Millis Membership::next() const {
-    Millis at = std::min(prober_.next(), next_sync_);
+    Millis at = std::min({prober_.next(), probe_relay_.next(), next_sync_});
     bool accusing = false;
-    for (const Relayed& r : relayed_) at = std::min(at, r.nacked ? r.ends_at : r.nack_at);
     const std::size_t members = table_.present();
     for (const auto& [name, member] : table_) {
         if (!member.suspicion) continue;
@@ -95,14 +94,10 @@
         prober_.postpone(late);
         next_insist_ += late;
         table_.postpone_suspicions(late);
-        for (Relayed& r : relayed_) r.nack_at += late, r.ends_at += late;
+        probe_relay_.postpone(late);
     }
-    for (Relayed& r : relayed_) {
-        if (r.nacked || r.nack_at > now) continue;
-        r.nacked = true;
-        send(r.asker, r.address, {Message::Kind::nack, r.asked_sequence, self_.name, r.asker, {}}, effects);
-    }
-    std::erase_if(relayed_, [&](const Relayed& r) { return r.ends_at <= now; });
+    for (const ProbeRelay::Request& request : probe_relay_.take_nacks(now))
+        answer(Message::Kind::nack, request, effects);
     if (Prober::Probe* const probe = prober_.take_timeout(now)) ask_others(*probe, effects);
     if (const auto failed = prober_.take_failed(now)) probe_failed(now, *failed, effects);
     if (next_insist_ <= now) insist(now, effects);
@@ -180,6 +175,11 @@
     effects.sends.push_back({to, address, std::move(message)});
 }
 
+void Membership::answer(Message::Kind kind, const ProbeRelay::Request& request, Effects& effects) {
+    send(request.asker, request.address, {kind, request.asked_sequence, self_.name, request.asker, {}},
+         effects);
+}
+
 void Membership::receive(Millis now, const Message& message, const std::string& address, Effects& effects) {
     if (superseded_ || message.from == self_.name) {
         // Another process with this member's name: only what it claims of the name counts.
@@ -196,30 +196,18 @@
                      {Message::Kind::ack, message.sequence, self_.name, message.from, {}}, effects);
             break;
         case Message::Kind::ping_request: {
-            if (!table_.find(message.target) || relayed_.size() >= parameters_.members_most) break;
-            Relayed r;
-            r.sequence = ++sequence_;
-            r.asked_sequence = message.sequence;
-            r.asker = message.from;
-            r.address = address;
-            r.nack_at = now + parameters_.period * parameters_.timeout_part * kNackPart;
-            r.ends_at = now + parameters_.period;
-            relayed_.push_back(r);
-            send(message.target, "", {Message::Kind::ping, r.sequence, self_.name, message.target, {}},
+            if (!table_.find(message.target) || probe_relay_.full()) break;
+            const std::uint64_t sequence = ++sequence_;
+            probe_relay_.add(now, {sequence, message.sequence, message.from, address});
+            send(message.target, "", {Message::Kind::ping, sequence, self_.name, message.target, {}},
                  effects);
             break;
         }
         case Message::Kind::ack:
             if (prober_.acknowledge(message.sequence)) {
                 local_health_.adjust(-1);
-            } else if (const auto at =
-                           std::find_if(relayed_.begin(), relayed_.end(),
-                                        [&](const Relayed& r) { return r.sequence == message.sequence; });
-                       at != relayed_.end()) {
-                const Relayed r = *at;
-                relayed_.erase(at);
-                send(r.asker, r.address, {Message::Kind::ack, r.asked_sequence, self_.name, r.asker, {}},
-                     effects);
+            } else if (const auto request = probe_relay_.acknowledge(message.sequence)) {
+                answer(Message::Kind::ack, *request, effects);
             }
             break;
         case Message::Kind::nack:
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -17,6 +17,7 @@
 #include "cluster/member_table.hpp"
 #include "cluster/message.hpp"
 #include "cluster/parameters.hpp"
+#include "cluster/probe_relay.hpp"
 #include "cluster/prober.hpp"
 
 namespace mothring::cluster {
@@ -52,19 +53,13 @@
     const Parameters& parameters() const { return parameters_; }
 
 private:
-    struct Relayed {  // a probe made for another member
-        std::uint64_t sequence = 0, asked_sequence = 0;
-        std::string asker, address;
-        Millis nack_at = 0, ends_at = 0;
-        bool nacked = false;
-    };
-
     void add(Millis now, const Claim& claim, Effects& effects);
     void apply(Millis now, const Claim& claim, Effects& effects);
     void apply_to_self(const Claim& claim, Effects& effects);
     void accuse(Millis now, Member& member, const Claim& claim, Effects& effects);
     void kill(Millis now, Member& member, State state, Effects& effects);
     void send(const std::string& to, const std::string& address, Message message, Effects& effects);
+    void answer(Message::Kind kind, const ProbeRelay::Request& request, Effects& effects);
     void probe_next(Millis now, Effects& effects);
     void ask_others(Prober::Probe& probe, Effects& effects);
     void probe_failed(Millis now, const Prober::Probe& probe, Effects& effects);
@@ -78,7 +73,7 @@
     MemberTable table_;
     DisseminationQueue dissemination_;
     Prober prober_;
-    std::vector<Relayed> relayed_;
+    ProbeRelay probe_relay_;
     std::uint64_t sequence_ = 0;
     Millis next_sync_ = 0, next_insist_ = 0;
     bool started_ = false, left_ = false, superseded_ = false, joined_ = false;
