--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -1,8 +1,5 @@
 #include "cluster/membership.hpp"
 
-#define XXH_INLINE_ALL
-#include <xxhash.h>
-
 #include <algorithm>
 #include <utility>
 
@@ -45,23 +42,12 @@
     return member ? std::optional(member->claim) : std::nullopt;
 }
 
-// Of those present only: what one has forgotten of the gone and another not is nothing to talk about.
-std::uint64_t Membership::digest() const {
-    std::map<std::string, std::uint64_t> sorted;
-    for (const Claim& claim : members())
-        if (is_present(claim.state)) sorted[claim.name] = claim.incarnation;
-    std::uint64_t hash = 0;
-    for (const auto& [name, incarnation] : sorted) {
-        const std::uint64_t words[] = {hash, incarnation};
-        hash = XXH64(name.data(), name.size(), XXH64(words, sizeof words, 0));
-    }
-    return hash;
-}
+std::uint64_t Membership::digest() const { return digest_of(members()); }
 
 // ---- Time
 
 Millis Membership::next() const {
-    Millis at = std::min({prober_.next(), probe_relay_.next(), next_sync_});
+    Millis at = std::min({prober_.next(), probe_relay_.next(), anti_entropy_.next()});
     bool accusing = false;
     const std::size_t members = table_.present();
     for (const auto& [name, member] : table_) {
@@ -75,15 +61,14 @@
 void Membership::tick(Millis now, Effects& effects) {
     if (left_ || superseded_) {
         prober_.begin_at(now + parameters_.period);
-        next_sync_ = now + parameters_.period;
+        anti_entropy_.begin_at(now + parameters_.period);
         return;
     }
     if (!started_) {
         started_ = true;
         // Spread over a period, so that members started together do not probe together.
         prober_.begin_at(now + parameters_.period * std::uniform_real_distribution<double>(0, 1)(random_));
-        next_sync_ = now + parameters_.period * parameters_.sync_least_periods *
-                               std::uniform_real_distribution<double>(0.5, 1)(random_);
+        anti_entropy_.schedule_first(now, parameters_, random_);
         dissemination_.enqueue(self_);
     }
     // What others said while this process stood still is unread: nobody is failed for that time.
@@ -108,23 +93,13 @@
         member.claim.by = self_.name;
         kill(now, member, State::dead, effects);
     }
-    if (next_sync_ <= now) {
-        choose_syncs(effects);
+    if (anti_entropy_.next() <= now) {
+        effects.syncs = choose_partners(table_, random_);
         table_.expire(now, parameters_);
-        next_sync_ = now + parameters_.period * sync_periods() *
-                               std::uniform_real_distribution<double>(0.75, 1.25)(random_);
+        anti_entropy_.schedule_next(now, parameters_, table_.present(), random_);
     }
 }
 
-// One live member, and one of those that died, as it may only have been cut off.
-void Membership::choose_syncs(Effects& effects) {
-    effects.syncs = table_.sample(1, {}, random_);
-    const std::vector<std::string> dead = table_.dead();
-    if (dead.empty()) return;
-    std::uniform_int_distribution<std::size_t> index(0, dead.size() - 1);
-    effects.syncs.push_back(dead[index(random_)]);
-}
-
 // ---- Probes
 
 void Membership::probe_next(Millis now, Effects& effects) {
@@ -343,7 +318,7 @@
     left_ = true;
     prober_.cancel();
     prober_.begin_at(now + parameters_.period);
-    next_sync_ = now + parameters_.period;
+    anti_entropy_.begin_at(now + parameters_.period);
 }
 
 }  // namespace mothring::cluster
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -11,6 +11,7 @@
 #include <string>
 #include <vector>
 
+#include "cluster/anti_entropy.hpp"
 #include "cluster/claim.hpp"
 #include "cluster/dissemination.hpp"
 #include "cluster/local_health.hpp"
@@ -64,7 +65,6 @@
     void ask_others(Prober::Probe& probe, Effects& effects);
     void probe_failed(Millis now, const Prober::Probe& probe, Effects& effects);
     void insist(Millis now, Effects& effects);
-    void choose_syncs(Effects& effects);
 
     Claim self_;
     Parameters parameters_;
@@ -74,8 +74,9 @@
     DisseminationQueue dissemination_;
     Prober prober_;
     ProbeRelay probe_relay_;
+    AntiEntropy anti_entropy_;
     std::uint64_t sequence_ = 0;
-    Millis next_sync_ = 0, next_insist_ = 0;
+    Millis next_insist_ = 0;
     bool started_ = false, left_ = false, superseded_ = false, joined_ = false;
     Counters counters_;
 };
