--- a/src/cluster/claim.cpp
+++ b/src/cluster/claim.cpp
@@ -15,6 +15,11 @@
 
 bool is_present(State state) { return state == State::alive || state == State::suspect; }
 
+bool overrides(const Claim& claim, const Claim& held) {
+    if (claim.incarnation != held.incarnation) return claim.incarnation > held.incarnation;
+    return claim.state > held.state;
+}
+
 std::size_t encoded_size(const Claim& claim) {
     return kFixedSize + claim.name.size() + claim.udp.size() + claim.tcp.size() + claim.version.size() +
            claim.by.size();
--- a/src/cluster/member_table.cpp
+++ b/src/cluster/member_table.cpp
@@ -1,6 +1,7 @@
 #include "cluster/member_table.hpp"
 
 #include <algorithm>
+#include <limits>
 #include <utility>
 
 namespace mothring::cluster {
@@ -72,14 +73,40 @@
     return names;
 }
 
+std::vector<const Member*> MemberTable::suspects() const {
+    std::vector<const Member*> found;
+    for (const auto& [name, member] : members_)
+        if (member.suspicion) found.push_back(&member);
+    return found;
+}
+
+// Asked for after every datagram: the present are counted once, and only where somebody is suspected.
+Millis MemberTable::next_expiry(const Parameters& parameters) const {
+    Millis at = std::numeric_limits<Millis>::infinity();
+    const std::vector<const Member*> suspected = suspects();
+    if (suspected.empty()) return at;
+    const std::size_t count = present();
+    for (const Member* const member : suspected)
+        at = std::min(at, member->suspicion->expires_at(parameters, count));
+    return at;
+}
+
 std::vector<std::string> MemberTable::expired_suspects(Millis now, const Parameters& parameters) const {
     std::vector<std::string> names;
+    const std::vector<const Member*> suspected = suspects();
+    if (suspected.empty()) return names;
     const std::size_t count = present();
-    for (const auto& [name, member] : members_)
-        if (member.suspicion && member.suspicion->expires_at(parameters, count) <= now) names.push_back(name);
+    for (const Member* const member : suspected)
+        if (member->suspicion->expires_at(parameters, count) <= now) names.push_back(member->claim.name);
     return names;
 }
 
+bool MemberTable::any_accused_by(const std::string& accuser) const {
+    return std::any_of(members_.begin(), members_.end(), [&](const auto& entry) {
+        return entry.second.suspicion && entry.second.suspicion->accused_by(accuser);
+    });
+}
+
 std::vector<std::string> MemberTable::accused_by(const std::string& accuser) const {
     std::vector<std::string> names;
     for (const auto& [name, member] : members_)
--- a/src/cluster/member_table.hpp
+++ b/src/cluster/member_table.hpp
@@ -55,9 +55,12 @@
     std::vector<std::string> sample(std::size_t count, const std::set<std::string>& except,
                                     std::mt19937_64& random) const;
     std::vector<std::string> dead() const;
+    // When the first suspicion runs out; infinite where nobody is suspected.
+    Millis next_expiry(const Parameters& parameters) const;
     // Those whose suspicion has run out by `now`.
     std::vector<std::string> expired_suspects(Millis now, const Parameters& parameters) const;
     // Those that `accuser` has accused and that are still suspected.
+    bool any_accused_by(const std::string& accuser) const;
     std::vector<std::string> accused_by(const std::string& accuser) const;
     // Gives all suspects back the time for which this process did not listen.
     void postpone_suspicions(Millis stalled);
@@ -65,6 +68,8 @@
     void expire(Millis now, const Parameters& parameters);
 
 private:
+    std::vector<const Member*> suspects() const;
+
     std::map<std::string, Member> members_;
 };
 
--- /dev/null
+++ b/src/cluster/membership_claims.cpp
@@ -0,0 +1,129 @@
+// How claims change what this member holds of the others and says of itself.
+#include <algorithm>
+
+#include "cluster/membership.hpp"
+
+namespace mothring::cluster {
+
+void Membership::merge(Millis now, const std::vector<Claim>& claims, const std::string& by,
+                       Effects& effects) {
+    for (Claim claim : claims) {
+        if (claim.state == State::dead) {
+            if (!member(claim.name)) continue;
+            claim.state = State::suspect;
+            claim.by = by;
+        }
+        apply(now, claim, effects);
+    }
+    joined_ = true;
+}
+
+void Membership::apply(Millis now, const Claim& claim, Effects& effects) {
+    if (claim.name.empty()) return;
+    if (claim.name == self_.name) return apply_to_self(claim, effects);
+    Member* const member = table_.find(claim.name);
+    if (!member) return add(now, claim, effects);
+    const bool same_suspicion =
+        member->suspicion && claim.state == State::suspect && claim.incarnation == member->claim.incarnation;
+    if (same_suspicion) return confirm(*member, claim);
+    if (!overrides(claim, member->claim)) return;
+    switch (claim.state) {
+        case State::alive:
+            return revive(now, *member, claim, effects);
+        case State::suspect:
+            return suspect(now, *member, claim, effects);
+        case State::dead:
+        case State::left:
+            return declare_gone(now, *member, claim, effects);
+    }
+}
+
+// ---- This member
+
+void Membership::apply_to_self(const Claim& claim, Effects& effects) {
+    if (left_ || superseded_ || claim.incarnation < self_.incarnation) return;
+    if (claim.state != State::alive) return refute(claim, effects);
+    if (claim.life != self_.life) contest_name(claim, effects);
+}
+
+// Another life has the name. Before this one has met anybody it is the later one; the same holds where both
+// came to the same incarnation, for the greater life.
+void Membership::contest_name(const Claim& claim, Effects& effects) {
+    const bool ours = !joined_ || (claim.incarnation == self_.incarnation && self_.life > claim.life);
+    if (ours) {
+        self_.incarnation = claim.incarnation + 1;
+        dissemination_.enqueue(self_);
+        return;
+    }
+    superseded_ = true;
+    prober_.cancel();
+    effects.changes.push_back({"superseded", self_.name, claim.incarnation, ""});
+}
+
+// Accused, or taken for an earlier life that died: alive, and later (SWIM 4.2).
+void Membership::refute(const Claim& claim, Effects& effects) {
+    self_.incarnation = claim.incarnation + 1;
+    if (claim.life == self_.life) {
+        ++counters_.accused;
+        local_health_.adjust(1);
+        effects.changes.push_back({"accused", self_.name, self_.incarnation, claim.by});
+    }
+    dissemination_.enqueue(self_);
+}
+
+// ---- The others
+
+// One never heard of that is no more is nobody's loss.
+void Membership::add(Millis now, const Claim& claim, Effects& effects) {
+    if (!is_present(claim.state) || claim.udp.empty() || table_.size() >= parameters_.members_most) return;
+    Member& member = table_.insert({claim, now});
+    member.claim.state = State::alive;
+    prober_.add(claim.name, random_);
+    effects.changes.push_back({"joined", claim.name, claim.incarnation, ""});
+    dissemination_.enqueue(member.claim);
+    if (claim.state == State::suspect) suspect(now, member, claim, effects);
+}
+
+void Membership::revive(Millis now, Member& member, const Claim& claim, Effects& effects) {
+    const State before = member.claim.state;
+    const bool reborn = claim.life != member.claim.life;
+    if (before == State::suspect && !reborn) ++counters_.refuted;
+    member = Member{claim, now};
+    if (!is_present(before) || reborn)
+        effects.changes.push_back({"rejoined", claim.name, claim.incarnation, ""});
+    else if (before == State::suspect)
+        effects.changes.push_back({"refuted", claim.name, claim.incarnation, ""});
+    dissemination_.enqueue(claim);
+}
+
+// Only as many accusations are passed on as shorten the timeout.
+void Membership::confirm(Member& member, const Claim& claim) {
+    const unsigned wanted = parameters_.confirmations_wanted(table_.present());
+    if (member.suspicion->confirm(claim.by, wanted)) dissemination_.enqueue(claim);
+}
+
+void Membership::suspect(Millis now, Member& member, const Claim& claim, Effects& effects) {
+    ++counters_.suspicions;
+    member.claim.incarnation = claim.incarnation;
+    member.claim.state = State::suspect;
+    member.claim.by = claim.by;
+    member.suspicion = Suspicion(claim.by, now);
+    member.since = now;
+    effects.changes.push_back({"suspect", member.claim.name, claim.incarnation, claim.by});
+    dissemination_.enqueue(member.claim);
+    if (claim.by == self_.name) next_accused_ping_ = std::max(next_accused_ping_, now);
+}
+
+void Membership::declare_gone(Millis now, Member& member, const Claim& claim, Effects& effects) {
+    member.claim.incarnation = claim.incarnation;
+    member.claim.state = claim.state;
+    member.claim.by = claim.by;
+    member.since = now;
+    member.expected = true;
+    member.suspicion.reset();
+    effects.changes.push_back(
+        {claim.state == State::left ? "left" : "dead", claim.name, claim.incarnation, claim.by});
+    dissemination_.enqueue(member.claim);
+}
+
+}  // namespace mothring::cluster
