--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -5,15 +5,13 @@
 #include <sys/wait.h>
 
 #include <algorithm>
-#include <boost/asio/connect.hpp>
-#include <boost/beast/core/flat_buffer.hpp>
-#include <boost/beast/core/tcp_stream.hpp>
-#include <boost/beast/http.hpp>
 #include <cstdio>
 #include <nlohmann/json.hpp>
 #include <random>
 #include <sstream>
 
+#include "lab/metrics_client.hpp"
+
 namespace mothring::lab {
 
 using Json = nlohmann::json;
@@ -21,9 +19,8 @@
 
 namespace {
 
-constexpr Millis kStep = 50;           // between looks at what is waited for
-constexpr Millis kStartLimit = 20000;  // for all sidecars to listen
-constexpr Millis kMetricsLimit = 2000;
+constexpr Millis kStep = 50;               // between looks at what is waited for
+constexpr Millis kStartLimit = 20000;      // for all sidecars to listen
 constexpr std::size_t kSeeds = 3;          // members each sidecar is given to join by
 constexpr std::size_t kHistory = 200'000;  // events kept for the report
 
@@ -62,23 +59,6 @@
 
 }  // namespace
 
-ClientTally Report::clients() const {
-    ClientTally sum;
-    for (const Sidecar& sidecar : sidecars) {
-        sum.all.add(sidecar.clients.all);
-        const auto& seconds = sidecar.clients.seconds;
-        if (sum.seconds.size() < seconds.size()) sum.seconds.resize(seconds.size());
-        for (std::size_t i = 0; i < seconds.size(); ++i) sum.seconds[i].add(seconds[i]);
-    }
-    return sum;
-}
-
-double Report::sidecars_cpu_s() const {
-    double sum = 0;
-    for (const Sidecar& sidecar : sidecars) sum += sidecar.usage.cpu_s;
-    return sum;
-}
-
 Lab::Lab(Scenario scenario, const std::filesystem::path& folder, const std::filesystem::path& program)
     : scenario_(std::move(scenario)),
       folder_(std::filesystem::absolute(folder)),
@@ -502,28 +482,6 @@
     return at == events.end() ? Json() : at->second.second;
 }
 
-Json Lab::metrics(std::size_t sidecar) const {
-    namespace http = boost::beast::http;
-    asio::io_context io;
-    boost::beast::tcp_stream stream(io);
-    http::request<http::empty_body> request{http::verb::get, "/metrics", 11};
-    http::response<http::string_body> response;
-    boost::beast::flat_buffer buffer;
-    Json metrics;
-    stream.expires_after(span(kMetricsLimit));
-    asio::co_spawn(
-        io,
-        [&]() -> Task {
-            error_code failed;
-            co_await stream.async_connect(sidecars_.at(sidecar).operators, into(failed));
-            if (!failed) co_await http::async_write(stream, request, into(failed));
-            if (!failed) co_await http::async_read(stream, buffer, response, into(failed));
-            if (!failed && response.result() == http::status::ok)
-                metrics = Json::parse(response.body(), nullptr, false);
-        },
-        asio::detached);
-    io.run();
-    return metrics;
-}
+Json Lab::metrics(std::size_t sidecar) const { return fetch_metrics(sidecars_.at(sidecar).operators); }
 
 }  // namespace mothring::lab
