--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -66,8 +66,8 @@
 
     // The nodes: sidecars n1, n2, ...; servers s1, s2, ...; discovery. Sidecars and servers are dealt over
     // the zones in turn.
-    std::string sidecar_name(std::size_t i) const { return "n" + std::to_string(i + 1); }
-    std::string server_name(std::size_t i) const { return "s" + std::to_string(i + 1); }
+    std::string sidecar_name(std::size_t i) const { return std::string("n").append(std::to_string(i + 1)); }
+    std::string server_name(std::size_t i) const { return std::string("s").append(std::to_string(i + 1)); }
     const std::string& zone(std::size_t i) const { return zones[i % zones.size()]; }
     // The nodes that a selector names: `*`, `sidecars`, `servers`, `discovery` or a node's name, each with
     // `@ZONE` behind it for those of that zone only (`@ZONE` alone: all of them). Empty: it names none.
