--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -19,10 +19,9 @@
 
 namespace {
 
-constexpr Millis kStep = 50;               // between looks at what is waited for
-constexpr Millis kStartLimit = 20000;      // for all sidecars to listen
-constexpr std::size_t kSeeds = 3;          // members each sidecar is given to join by
-constexpr std::size_t kHistory = 200'000;  // events kept for the report
+constexpr Millis kStep = 50;           // between looks at what is waited for
+constexpr Millis kStartLimit = 20000;  // for all sidecars to listen
+constexpr std::size_t kSeeds = 3;      // members each sidecar is given to join by
 
 // Another for each experiment: where two run at once, one's datagrams to a port that a dead sidecar had may
 // reach a sidecar of the other.
@@ -114,7 +113,7 @@
     for (std::size_t i = 0; i < sidecars_.size(); ++i) launch(i);
     const auto listening = [this] {
         return std::all_of(sidecars_.begin(), sidecars_.end(),
-                           [](const auto& s) { return s.events.contains("sidecar.listening"); });
+                           [this](const auto& s) { return events_.count(s.name, "sidecar.listening") > 0; });
     };
     const auto ended = [this] {
         return std::find_if(sidecars_.begin(), sidecars_.end(),
@@ -220,11 +219,7 @@
 void Lab::heard(std::size_t i, const Json& event) {
     SidecarProcess& s = sidecars_[i];
     const std::string name = event.value("event", "");
-    auto& [count, last] = s.events[name];
-    ++count;
-    last = event;
-    if ((name.starts_with("member.") || name.starts_with("cluster.")) && history_.size() < kHistory)
-        history_.push_back({since_begun(), s.name, name, event.value("member", "")});
+    events_.record(since_begun(), s.name, event);
     if (name != "sidecar.listening") return;
     // The ports that the system chose stay its own over restarts.
     s.listen = node::read_address(event.value("listen", ""), "listen");
@@ -386,7 +381,7 @@
     for (auto& server : servers_) server->start_seconds();
     clients_.start();
     begun_ = steady_clock::now();
-    history_.clear();
+    events_.clear_history();
     const auto now = [this] { return since_begun(); };
     auto next = timeline.begin();
     while (!interrupted_ && now() < scenario_.duration) {
@@ -428,8 +423,8 @@
     for (const Fault& f : scenario_.faults)
         r.faults.push_back({std::string(fault_kinds().at(static_cast<std::size_t>(f.kind))), f.at,
                             f.length ? std::min(f.at + *f.length, r.played) : r.played});
-    r.events = history_;
-    r.detections = detections();
+    r.events = events_.history();
+    r.detections = events_.detections(scenario_);
     if (scenario_.cluster_period)
         for (std::size_t i = 0; i < sidecars_.size(); ++i) {
             const Json figures = sidecars_[i].child->running() ? metrics(i) : Json();
@@ -445,41 +440,15 @@
     return r;
 }
 
-std::vector<Report::Detection> Lab::detections() const {
-    std::vector<Report::Detection> found;
-    for (const Fault& f : scenario_.faults) {
-        if (f.kind != FaultKind::kill || !scenario_.cluster_period) continue;
-        const auto killed = scenario_.select(f.from);
-        for (const std::string& member : killed) {
-            Report::Detection d{member, f.at, scenario_.sidecars - killed.size(), {}};
-            std::set<std::string> told;
-            for (const Report::Event& e : history_)
-                if (e.at >= f.at && e.event == "member.dead" && e.member == member &&
-                    told.insert(e.sidecar).second)
-                    d.after.push_back(e.at - f.at);
-            std::sort(d.after.begin(), d.after.end());
-            found.push_back(std::move(d));
-        }
-    }
-    return found;
-}
-
 // ---- Questions
 
 std::size_t Lab::events(std::size_t sidecar, const std::string& name, const std::string& member) const {
-    if (!member.empty())
-        return static_cast<std::size_t>(std::count_if(history_.begin(), history_.end(), [&](const auto& e) {
-            return e.sidecar == sidecars_.at(sidecar).name && e.event == name && e.member == member;
-        }));
-    const auto& events = sidecars_.at(sidecar).events;
-    const auto at = events.find(name);
-    return at == events.end() ? 0 : at->second.first;
+    const std::string& of = sidecars_.at(sidecar).name;
+    return member.empty() ? events_.count(of, name) : events_.count(of, name, member);
 }
 
 Json Lab::last_event(std::size_t sidecar, const std::string& name) const {
-    const auto& events = sidecars_.at(sidecar).events;
-    const auto at = events.find(name);
-    return at == events.end() ? Json() : at->second.second;
+    return events_.last(sidecars_.at(sidecar).name, name);
 }
 
 Json Lab::metrics(std::size_t sidecar) const { return fetch_metrics(sidecars_.at(sidecar).operators); }
--- a/src/lab/lab.hpp
+++ b/src/lab/lab.hpp
@@ -15,6 +15,7 @@
 
 #include "lab/clients.hpp"
 #include "lab/discovery.hpp"
+#include "lab/event_log.hpp"
 #include "lab/process.hpp"
 #include "lab/relay.hpp"
 #include "lab/results.hpp"
@@ -74,7 +75,6 @@
         Udp::endpoint peers{any_udp_port};  // the cluster's address where that is on
         Tcp::endpoint discovery;
         std::unique_ptr<Child> child;
-        std::map<std::string, std::pair<std::size_t, nlohmann::json>> events;
         Usage past;  // of its earlier lives
         unsigned starts = 0;
         bool ended_badly = false, told_to_end = false;
@@ -86,7 +86,6 @@
     void launch(std::size_t i);
     void configure(std::size_t i);
     std::string cluster_toml(std::size_t i);
-    std::vector<Report::Detection> detections() const;
     void heard(std::size_t i, const nlohmann::json& event);
     void look_after();  // children that ended by themselves
     Task restart_later(std::size_t i, Millis after);
@@ -108,7 +107,7 @@
     std::map<const Fault*, Relay::RuleId> rules_;
     std::map<std::string, Behaviour> behaviours_;  // to go back to, of servers with a fault
     std::map<std::pair<std::string, std::string>, Tcp::endpoint> peer_links_;
-    std::vector<Report::Event> history_;
+    EventLog events_;
     std::chrono::steady_clock::time_point begun_ = std::chrono::steady_clock::now();
     Millis played_ = 0;
     bool interrupted_ = false;
