--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -5,10 +5,8 @@
 #include <sys/wait.h>
 
 #include <algorithm>
-#include <cstdio>
 #include <nlohmann/json.hpp>
 #include <random>
-#include <sstream>
 
 #include "lab/metrics_client.hpp"
 
@@ -21,26 +19,6 @@
 
 constexpr Millis kStep = 50;           // between looks at what is waited for
 constexpr Millis kStartLimit = 20000;  // for all sidecars to listen
-constexpr std::size_t kSeeds = 3;      // members each sidecar is given to join by
-
-// Another for each experiment: where two run at once, one's datagrams to a port that a dead sidecar had may
-// reach a sidecar of the other.
-std::string new_key() {
-    std::random_device random;
-    std::ostringstream key;
-    key << "lab-" << std::hex << random() << random() << random();
-    return key.str();
-}
-
-const char* effect_name(Effect effect) {
-    return effect == Effect::repeatable ? "repeatable" : effect == Effect::by_key ? "by_key" : "once";
-}
-
-std::string hex_seed(std::uint64_t seed) {
-    char text[20];
-    std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(seed));
-    return text;
-}
 
 void add(Usage& to, const Usage& more) {
     to.cpu_s += more.cpu_s;
@@ -62,10 +40,10 @@
     : scenario_(std::move(scenario)),
       folder_(std::filesystem::absolute(folder)),
       program_(std::filesystem::absolute(program)),
-      key_(new_key()),
       addresses_(127U << 24 | (1 + std::random_device{}() % 250) << 16 | std::random_device{}() % 250 << 8 |
                  1),
       relay_(scenario_.seed),
+      config_(scenario_, relay_),
       clients_(scenario_.classes, scenario_.rate, scenario_.seed + 1) {
     raise_descriptor_limit();
     std::filesystem::create_directories(folder_);
@@ -104,10 +82,10 @@
         // An address of its own, so that nobody takes its ports while it is down: the system gives other
         // sockets theirs at 127.0.0.1.
         const asio::ip::address_v4 own(addresses_ + static_cast<std::uint32_t>(i));
-        s.listen.address(own);
-        s.operators.address(own);
-        s.peers.address(own);
-        s.discovery = relay_.tcp_link(s.name, "discovery", discovery_->add_viewer(s.name));
+        s.addresses.listen.address(own);
+        s.addresses.operators.address(own);
+        s.addresses.peers.address(own);
+        s.addresses.discovery = relay_.tcp_link(s.name, "discovery", discovery_->add_viewer(s.name));
         std::filesystem::create_directories(s.folder / "tmp");
     }
     for (std::size_t i = 0; i < sidecars_.size(); ++i) launch(i);
@@ -125,86 +103,9 @@
     if (!listening()) throw LabError("the sidecars did not all listen within the limit");
 }
 
-void Lab::configure(std::size_t i) {
-    const SidecarProcess& s = sidecars_[i];
-    Json classes = Json::array();
-    for (const ClientClass& c : scenario_.classes)
-        classes.push_back({{"name", c.name},
-                           {"effect", effect_name(c.effect)},
-                           {"dedup-scope", "all"},
-                           {"dedup-window-ms", c.timeout},
-                           {"on-time-ms", c.on_time},
-                           {"credit", 1.0}});
-    Json peers = Json::array();
-    for (std::size_t n = 0; scenario_.may_tell && !scenario_.cluster_period && n < scenario_.sidecars; ++n)
-        if (n != i) peers.push_back(node::written(relay_.udp_link(s.name, scenario_.sidecar_name(n))));
-    Json config{{"name", s.name},
-                {"listen", node::written(s.listen)},
-                {"discovery", node::written(s.discovery)},
-                {"seed", hex_seed(scenario_.seed * 7919 + i * 31 + s.starts)},
-                {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
-                {"operator", node::written(s.operators)},
-                {"known", Json::parse(discovery_->list(s.name))},
-                {"settings",
-                 {{"azs", scenario_.zones},
-                  {"my-zone", scenario_.zone(i)},
-                  {"classes", classes},
-                  {"siblings", scenario_.sidecars},
-                  {"membership-mode", scenario_.list_on_request ? "on_request" : "pushed"},
-                  {"tenants", Json::array()},
-                  {"limits",
-                   {{"max-attempts", 4},
-                    {"may-cancel", true},
-                    {"may-probe", true},
-                    {"may-tell", scenario_.may_tell},
-                    {"connect-timeout-ms", 250.0},
-                    {"idle-close-ms", scenario_.behaviour.idle_close},
-                    {"parallel-tries", false},
-                    {"retry-after", true},
-                    {"max-retry-after-ms", 1500.0}}},
-                  {"rules",
-                   {{"cold-from", scenario_.behaviour.cold_from},
-                    {"warm-within-ms", scenario_.behaviour.warm_ms},
-                    {"fall-multiple", 4.0},
-                    {"ask-within-ms", 10000.0}}}}}};
-    if (scenario_.may_tell && !scenario_.cluster_period) {
-        config["peer_listen"] = node::written(s.peers);
-        config["peers"] = std::move(peers);
-    }
-    std::ofstream(s.folder / "config.json") << config.dump(1);
-    std::string toml = scenario_.sidecar_toml + "\n";
-    // A key of [sidecar] that the scenario gives for all stays; the skew is of some.
-    if (i < scenario_.skewed && toml.find("[sidecar]") == std::string::npos)
-        toml += "[sidecar]\nclock_skew_ms = " + std::to_string(scenario_.clock_skew) + "\n";
-    if (scenario_.cluster_period) toml += cluster_toml(i);
-    std::ofstream(s.folder / "sidecar.toml") << toml;
-}
-
-// Each member reaches the others through the relay, so wherever they say they are.
-std::string Lab::cluster_toml(std::size_t i) {
-    const SidecarProcess& s = sidecars_[i];
-    std::ostringstream seeds, peers;
-    std::size_t seeded = 0;
-    for (std::size_t n = 0; n < scenario_.sidecars; ++n) {
-        if (n == i) continue;
-        const std::string other = scenario_.sidecar_name(n);
-        auto& link = peer_links_[{s.name, other}];
-        if (link.port() == 0) link = relay_.peer_link(s.name, other);
-        if (seeded < kSeeds) seeds << (seeded++ ? ", \"" : "\"") << link << '"';
-        peers << "[[cluster.peers]]\nname = \"" << other << "\"\nudp = \"" << relay_.udp_link(s.name, other)
-              << "\"\ntcp = \"" << link << "\"\n";
-    }
-    std::ostringstream toml;
-    toml << "[cluster]\nbind = \"" << s.peers << "\"\nkey = \"" << key_
-         << "\"\nperiod_ms = " << *scenario_.cluster_period << "\nsuspicion = " << scenario_.cluster_suspicion
-         << "\nseeds = [" << seeds.str() << "]\n"
-         << peers.str();
-    return toml.str();
-}
-
 void Lab::launch(std::size_t i) {
     SidecarProcess& s = sidecars_[i];
-    configure(i);
+    config_.write(i, s.starts, s.addresses, Json::parse(discovery_->list(s.name)), s.folder);
     ++s.starts;
     s.told_to_end = false;
     s.child = std::make_unique<Child>(
@@ -222,14 +123,15 @@
     events_.record(since_begun(), s.name, event);
     if (name != "sidecar.listening") return;
     // The ports that the system chose stay its own over restarts.
-    s.listen = node::read_address(event.value("listen", ""), "listen");
-    if (event.contains("operator")) s.operators = node::read_address(event.value("operator", ""), "operator");
+    s.addresses.listen = node::read_address(event.value("listen", ""), "listen");
+    if (event.contains("operator"))
+        s.addresses.operators = node::read_address(event.value("operator", ""), "operator");
     for (const char* const key : {"peers", "cluster"})
         if (const auto peers = node::endpoint_of<Udp::endpoint>(event.value(key, ""))) {
-            s.peers = *peers;
-            relay_.set_peer_address(s.name, s.peers);
+            s.addresses.peers = *peers;
+            relay_.set_peer_address(s.name, s.addresses.peers);
         }
-    clients_.add(s.name, scenario_.zone(i), s.listen);
+    clients_.add(s.name, scenario_.zone(i), s.addresses.listen);
 }
 
 // ---- Faults
@@ -451,6 +353,8 @@
     return events_.last(sidecars_.at(sidecar).name, name);
 }
 
-Json Lab::metrics(std::size_t sidecar) const { return fetch_metrics(sidecars_.at(sidecar).operators); }
+Json Lab::metrics(std::size_t sidecar) const {
+    return fetch_metrics(sidecars_.at(sidecar).addresses.operators);
+}
 
 }  // namespace mothring::lab
--- a/src/lab/lab.hpp
+++ b/src/lab/lab.hpp
@@ -21,6 +21,7 @@
 #include "lab/results.hpp"
 #include "lab/scan_server.hpp"
 #include "lab/scenario.hpp"
+#include "lab/sidecar_config.hpp"
 
 namespace mothring::lab {
 
@@ -60,7 +61,7 @@
     // GET at the sidecar's operators' address: the body of a 200, or null. Bounded in time.
     nlohmann::json metrics(std::size_t sidecar) const;
     const Scenario& scenario() const { return scenario_; }
-    const std::string& cluster_key() const { return key_; }
+    const std::string& cluster_key() const { return config_.cluster_key(); }
     DiscoveryStandIn& discovery() { return *discovery_; }
     ScanServer& server(std::size_t i) { return *servers_.at(i); }
     Relay& relay() { return relay_; }
@@ -71,9 +72,7 @@
     struct SidecarProcess {
         std::string name;
         std::filesystem::path folder;
-        Tcp::endpoint listen{any_tcp_port}, operators{any_tcp_port};
-        Udp::endpoint peers{any_udp_port};  // the cluster's address where that is on
-        Tcp::endpoint discovery;
+        SidecarAddresses addresses;
         std::unique_ptr<Child> child;
         Usage past;  // of its earlier lives
         unsigned starts = 0;
@@ -84,8 +83,6 @@
         std::function<void()> act;
     };
     void launch(std::size_t i);
-    void configure(std::size_t i);
-    std::string cluster_toml(std::size_t i);
     void heard(std::size_t i, const nlohmann::json& event);
     void look_after();  // children that ended by themselves
     Task restart_later(std::size_t i, Millis after);
@@ -94,11 +91,11 @@
 
     Scenario scenario_;
     std::filesystem::path folder_, program_;
-    std::string key_;          // of the cluster
     std::uint32_t addresses_;  // the first sidecar's, in 127.0.0.0/8; the others' follow
     asio::io_context io_{1};
     std::shared_ptr<Ledger> ledger_ = std::make_shared<Ledger>();
     Relay relay_;
+    SidecarConfig config_;
     std::vector<std::unique_ptr<ScanServer>> servers_;
     std::map<std::pair<std::string, std::string>, Tcp::endpoint> links_;
     std::unique_ptr<DiscoveryStandIn> discovery_;
@@ -106,7 +103,6 @@
     std::vector<SidecarProcess> sidecars_;
     std::map<const Fault*, Relay::RuleId> rules_;
     std::map<std::string, Behaviour> behaviours_;  // to go back to, of servers with a fault
-    std::map<std::pair<std::string, std::string>, Tcp::endpoint> peer_links_;
     EventLog events_;
     std::chrono::steady_clock::time_point begun_ = std::chrono::steady_clock::now();
     Millis played_ = 0;
