--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -3,178 +3,114 @@
 // refinements (Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
 // Detection", DSN-W 2018). No socket, clock or thread: time comes in, messages go out, so that the same code
 // runs in a sidecar and in a simulated fleet. Times are milliseconds on a clock that never goes back.
+//
+// This class puts the parts of the protocol together: the member table, the prober, the relay of indirect
+// probes, the dissemination queue and anti-entropy, each in a file of its own.
 #pragma once
 
 #include <cstdint>
-#include <deque>
-#include <map>
 #include <optional>
 #include <random>
-#include <set>
 #include <string>
 #include <vector>
 
-#include "mothring/balancer.hpp"
+#include "cluster/anti_entropy.hpp"
+#include "cluster/claim.hpp"
+#include "cluster/dissemination.hpp"
+#include "cluster/local_health.hpp"
+#include "cluster/member_table.hpp"
+#include "cluster/message.hpp"
+#include "cluster/parameters.hpp"
+#include "cluster/probe_relay.hpp"
+#include "cluster/prober.hpp"
 
 namespace mothring::cluster {
 
-enum class State : std::uint8_t { alive, suspect, dead, left };
-const char* name_of(State state);
-
-// What is said of a member. A greater incarnation, which only the member itself makes, overrides a lesser;
-// at the same one left overrides dead, dead suspect, and suspect alive: the greatest claim stands, in
-// whatever order they come. A life is one process: a restarted member has another `life`, and a greater
-// incarnation.
-struct Claim {
-    std::string name;
-    State state = State::alive;
-    std::uint64_t incarnation = 0, life = 0;
-    std::string udp, tcp;  // ADDRESS:PORT, where it listens
-    std::string version;   // of the program it runs
-    std::string by;        // suspect: who accuses
-};
-
-struct Message {
-    enum class Kind : std::uint8_t { ping, ack, ping_request, nack, gossip };
-    Kind kind = Kind::ping;
-    std::uint64_t sequence = 0;
-    std::string from, target;  // target: whom a ping is meant for, or a ping_request is about
-    std::vector<Claim> claims;
-};
-
-struct Parameters {
-    Millis period = 1000;              // of probes, SWIM's T'
-    double timeout_part = 0.5;         // of the period, for a direct ack; the rest is for the indirect ones
-    unsigned indirect = 3;             // members asked to probe, SWIM's k
-    double suspicion = 4;              // least timeout: this times log10 N periods (Lifeguard's alpha),
-    double suspicion_most = 6;         // and the greatest this times the least (beta)
-    unsigned retransmit = 4;           // a claim is passed on this times log10(N+1) times (SWIM's lambda)
-    unsigned awareness_most = 8;       // of Lifeguard's local health multiplier
-    std::size_t room = 1000;           // bytes of claims in a message
-    std::size_t members_most = 1024;   // records held
-    double stable_periods = 600;       // for so long one that died counts as expected,
-    double reconnect_periods = 86400;  // and is tried for to heal a partition
-    double sync_least_periods = 8;     // between full syncs; N/2 where that is more, so that a member's
-                                       // traffic does not grow with N
-    // The suspicion timeout with so many live members and confirmations (Lifeguard, 4.2), in ms.
-    Millis suspicion_timeout(std::size_t members, unsigned confirmations) const;
-    unsigned confirmations_wanted(std::size_t members) const;
-    unsigned transmits(std::size_t members) const;
-};
-
-// What is to be done and what was learnt.
-struct Effects {
-    struct Send {
-        std::string to;       // the member; empty where only the address is known
-        std::string address;  // an answer's: where the question came from; empty: the member's own
-        Message message;
-    };
-    struct Change {
-        // joined, suspect, refuted (by the suspect), dead, left, rejoined (another life), superseded (another
-        // process has this member's name), accused (this member is suspected, and says otherwise)
-        std::string what, name;
-        std::uint64_t incarnation = 0;
-        std::string by;
-    };
-    std::vector<Send> sends;
-    std::vector<Change> changes;
-    std::vector<std::string> syncs;  // members to exchange the whole state with
-};
-
-// This member's own view. `expected`: those it counts on, the ones that died not long ago among them;
-// `quorum`: more than half of these are present, so that what is shared by count may be.
-struct View {
-    std::size_t alive = 0, suspect = 0, dead = 0, left = 0, expected = 0;
-    bool stands = true;  // false: it is not kept up any more (superseded)
-    std::size_t present() const { return alive + suspect; }
-    bool quorum() const { return stands && 2 * present() > expected; }
-};
-
+// One member's side of the protocol. What it wants done and what it learnt is added to the `effects` given;
+// nothing here throws on what others send.
 class Membership {
 public:
+    // Since the start. `deaths`: those this member declared; `accused`: claims that this member is suspected
+    // or dead, which it refuted; `late_ticks`: times this process was found to have been stalled.
     struct Counters {
         std::uint64_t probes = 0, probes_failed = 0, suspicions = 0, refuted = 0, deaths = 0, accused = 0,
                       late_ticks = 0;
     };
 
-    // `self`: its name, addresses, version and life; its incarnation is that of a first life.
+    // `self`: its name, addresses, version and life; its incarnation is that of a first life. `seed`: of the
+    // random choices, which are the same for the same seed and calls.
     Membership(Claim self, Parameters parameters, std::uint64_t seed);
 
     // What is due by `now`. Call it at next() or later; being late is taken as this process's own slowness.
     void tick(Millis now, Effects& effects);
+    // When tick() has something to do; earlier than the present where it is overdue.
     Millis next() const;
+    // A message that came from `address`, to which an answer goes.
     void receive(Millis now, const Message& message, const std::string& address, Effects& effects);
-    // The whole state of another, as members() gives it. Its dead are doubted, not believed: they may refute.
+    // The whole state of `by`, as members() gives it. Its dead are doubted, not believed: they may refute.
     void merge(Millis now, const std::vector<Claim>& claims, const std::string& by, Effects& effects);
-    std::uint64_t digest() const;  // equal where two members have nothing to tell each other
+    // Equal where two members have nothing to tell each other.
+    std::uint64_t digest() const;
     // This member goes: tells it to some at once; it answers no probe any more.
     void leave(Millis now, Effects& effects);
 
     View view() const;
-    double sync_periods() const;  // between exchanges of the whole state
+    // Periods between exchanges of the whole state, on average.
+    double sync_periods() const;
+    // The claim of this member about itself.
     const Claim& self() const { return self_; }
+    // Another process has this member's name: this one has fallen silent.
     bool superseded() const { return superseded_; }
-    std::vector<Claim> members() const;  // all records, this member's first
+    // All records, this member's first.
+    std::vector<Claim> members() const;
+    // What stands about one, this member included. None: not known.
     std::optional<Claim> member(const std::string& name) const;
-    unsigned awareness() const { return awareness_; }
+    // The local health score, 0 the best (Lifeguard, 4.1).
+    unsigned awareness() const { return local_health_.score(); }
     const Counters& counters() const { return counters_; }
     const Parameters& parameters() const { return parameters_; }
 
 private:
-    struct Record {
-        Claim claim;
-        Millis since = 0;  // in this state
-        std::set<std::string> accusers{};
-        Millis suspected_at = 0;
-        bool expected = true;  // while dead
-    };
-    struct Gossip {
-        Claim claim;
-        unsigned sent = 0;
-    };
-    struct Probe {
-        std::string target;
-        std::uint64_t sequence = 0;
-        Millis ask_others_at = 0, fails_at = 0;
-        bool asked_others = false;
-        unsigned nacks_due = 0, nacks = 0;
-    };
-    struct Relayed {  // a probe made for another member
-        std::uint64_t sequence = 0, asked_sequence = 0;
-        std::string asker, address;
-        Millis nack_at = 0, ends_at = 0;
-        bool nacked = false;
-    };
-
-    std::size_t present() const;
+    // Time (membership.cpp)
+    void start(Millis now);
+    void make_up_for_stall(Millis now);
+    void idle(Millis now);
+    void begin_probe(Millis now, Effects& effects);
+    void ask_others(Prober::Probe& probe, Effects& effects);
+    void fail_probe(Millis now, const Prober::Probe& probe, Effects& effects);
+    void ping_accused(Millis now, Effects& effects);
+    void declare_expired(Millis now, Effects& effects);
+    void exchange_states(Millis now, Effects& effects);
+    // Messages (membership.cpp)
+    void send(const std::string& to, const std::string& address, Message message, Effects& effects);
+    void send_ping(const std::string& target, std::uint64_t sequence, Effects& effects);
+    void answer(Message::Kind kind, const ProbeRelay::Request& request, Effects& effects);
+    void relay_probe(Millis now, const Message& request, const std::string& address, Effects& effects);
+    void acknowledge(std::uint64_t sequence, Effects& effects);
+    // Claims (membership_claims.cpp)
     void apply(Millis now, const Claim& claim, Effects& effects);
     void apply_to_self(const Claim& claim, Effects& effects);
-    void accuse(Millis now, Record& record, const Claim& claim, Effects& effects);
-    void kill(Millis now, Record& record, State state, Effects& effects);
-    void pass_on(const Claim& claim);
-    std::vector<Claim> claims_for(const std::string& to);
-    void send(const std::string& to, const std::string& address, Message message, Effects& effects);
-    void probe_next(Millis now, Effects& effects);
-    void probe_failed(Millis now, Effects& effects);
-    void insist(Millis now, Effects& effects);
-    void be_aware(int change);
-    std::vector<std::string> some(std::size_t count, const std::set<std::string>& except);
-    void choose_syncs(Effects& effects);
-    void forget(Millis now);
-    Millis suspicion_ends(const Record& record) const;
+    void contest_name(const Claim& claim, Effects& effects);
+    void refute(const Claim& claim, Effects& effects);
+    void add(Millis now, const Claim& claim, Effects& effects);
+    void revive(Millis now, Member& member, const Claim& claim, Effects& effects);
+    void confirm(Member& member, const Claim& claim);
+    void suspect(Millis now, Member& member, const Claim& claim, Effects& effects);
+    void declare_gone(Millis now, Member& member, const Claim& claim, Effects& effects);
 
     Claim self_;
     Parameters parameters_;
     std::mt19937_64 random_;
-    std::map<std::string, Record> records_;  // of the others
-    std::deque<Gossip> gossip_;
-    std::vector<std::string> round_;  // whom to probe, in turn
-    std::optional<Probe> probe_;
-    std::vector<Relayed> relayed_;
-    std::uint64_t sequence_ = 0;
-    Millis next_probe_ = 0, next_sync_ = 0, next_insist_ = 0;
-    unsigned awareness_ = 0;
-    bool started_ = false, left_ = false, superseded_ = false, joined_ = false;
+    LocalHealth local_health_;
+    MemberTable table_;
+    DisseminationQueue dissemination_;
+    Prober prober_;
+    ProbeRelay probe_relay_;
+    AntiEntropy anti_entropy_;
+    std::uint64_t sequence_ = 0;  // of the last ping sent
+    Millis next_accused_ping_ = 0;
+    bool started_ = false, left_ = false, superseded_ = false;
+    bool joined_ = false;  // another's state has been merged
     Counters counters_;
 };
 
