--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -51,6 +51,8 @@
 // ---- Time
 
 Millis Membership::next() const {
+    // Suspicions and probes that were under way stay as they were: nothing of them is to be done any more.
+    if (left_ || superseded_) return anti_entropy_.next();
     const Millis at = std::min({prober_.next(), probe_relay_.next(), anti_entropy_.next()});
     const Millis expiry = table_.next_expiry(parameters_);
     if (std::isinf(expiry)) return at;  // nobody is suspected, so nobody is accused
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -110,6 +110,32 @@
     EXPECT_EQ(me.self().state, State::alive);
 }
 
+// A member that has left, or whose name another process has, never declares a suspect dead: the end of that
+// suspicion must not stay its next time for ever, as whoever waits for that would spin.
+TEST(Claims, OfASuspectLeaveNothingDueToAMemberThatIsSupersededOrHasLeft) {
+    for (const bool superseded : {true, false}) {
+        Claim self;
+        self.name = "me";
+        self.life = 1;
+        Membership me(self, parameters, 1);
+        Effects effects;
+        me.tick(1, effects);
+        me.merge(1, {claim_about("x", State::alive, 1, ""), claim_about("x", State::suspect, 1, "y")}, "y",
+                 effects);
+        Claim other = claim_about("me", State::alive, 9, "");
+        other.life = 2;
+        if (superseded)
+            me.merge(1, {other}, "y", effects);
+        else
+            me.leave(2, effects);
+        ASSERT_EQ(me.superseded(), superseded);
+        ASSERT_EQ(me.member("x")->state, State::suspect);
+        constexpr Millis kLongAfter = 600 * kPeriod;
+        me.tick(kLongAfter, effects);
+        EXPECT_GT(me.next(), kLongAfter);
+    }
+}
+
 TEST(Claims, OfAnotherLifeWithAGreaterIncarnationSupersedeThisOneOnceItHasMetAnybody) {
     Claim self;
     self.name = "me";
