--- /dev/null
+++ b/tests/system_call_test.cpp
@@ -0,0 +1,265 @@
+// What fails for a moment at this machine costs no request its answer, says nothing of the servers or of
+// discovery, and keeps nobody busy.
+#include <array>
+#include <cerrno>
+#include <cstring>
+
+#include "cluster/agent.hpp"
+#include "net_rig.hpp"
+#include "node/clock.hpp"
+#include "node/discovery.hpp"
+#include "node/peers.hpp"
+#include "system_call_faults.hpp"
+
+namespace mothring::node::test {
+namespace {
+
+using mothring::test::Ports;
+using mothring::test::SystemCall;
+using mothring::test::SystemCallFaults;
+
+constexpr int kForever = 1 << 30;
+constexpr ServerId kServer = 7;
+
+struct SystemCalls : NetRig {
+    SystemCallFaults faults;
+
+    Ports at_front() const { return {sidecar->address().port(), 0}; }
+    static Ports to(const ScriptedServer& server) { return {0, server.endpoint().port()}; }
+    // The loop goes on for so long, whatever happens.
+    void let_pass(std::chrono::microseconds length) {
+        const auto end = std::chrono::steady_clock::now() + length;
+        until([&] { return std::chrono::steady_clock::now() >= end; });
+    }
+    /// Two servers that have served, and close after each answer, so that each attempt has to connect.
+    void start_with_servers_known() {
+        a.script = b.script = [](const auto&) {
+            return Reply{response("200 OK", "served", "Connection: close\r\n"), true};
+        };
+        start();
+        for (int i = 0; i < 10; ++i)
+            EXPECT_EQ(ask(request("deposit", "known-" + std::to_string(i))).result_int(), 200u);
+        until([&] { return watched_from("41"); });
+    }
+    /// A request on a connection that is there.
+    TestClient::Answer ask_on(TestClient& c, const std::string& bytes) {
+        const std::size_t before = c.answers.size();
+        c.send(bytes);
+        until([&] { return c.answers.size() > before || c.ended; });
+        return c.answers.size() > before ? c.answers.back() : TestClient::Answer{};
+    }
+    bool nothing_out() const { return sidecar->metrics().in_flight == 0; }
+};
+
+// ---- Connections to servers -------------------------------------------------------------------------------
+
+struct ConnectingOut : SystemCalls {
+    std::optional<Upstream> upstream;
+    std::vector<Outcome> outcomes;
+
+    ConnectingOut() {
+        upstream.emplace(io, Upstream::Limits{}, std::make_shared<Budget>(Budget{16 << 20}));
+        upstream->set_server(kServer, a.endpoint(), 0);
+    }
+    Outcome one() {
+        Upstream::Request request;
+        request.message.method(http::verb::post);
+        request.message.target("/deposit");
+        const std::size_t before = outcomes.size();
+        upstream->start(kServer, std::move(request),
+                        [this](Outcome outcome, const Upstream::Response&) { outcomes.push_back(outcome); });
+        until([&] { return outcomes.size() > before; });
+        return outcomes.empty() ? Outcome::recalled : outcomes.back();
+    }
+    Outcome after_connect_fails_with(int error) {
+        faults.fail(SystemCall::connect, error, 1, to(a));
+        return one();
+    }
+};
+
+TEST_F(ConnectingOut, FailureOfTheServer_provesThatItNeverRan) {
+    for (const int error : {ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH})
+        EXPECT_EQ(after_connect_fails_with(error), Outcome::refused_connection) << std::strerror(error);
+    EXPECT_EQ(one(), Outcome::completed);
+}
+
+TEST_F(ConnectingOut, NoSocket_isNotIssuedAndNoVerdict) {
+    for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
+        faults.fail(SystemCall::socket, error, 1);
+        EXPECT_EQ(one(), Outcome::superseded) << std::strerror(error);
+        EXPECT_EQ(upstream->stats().open, 0u);
+    }
+    EXPECT_EQ(one(), Outcome::completed);
+}
+
+// Of a server's own connections one fails for a moment here: the request has its answer at once elsewhere,
+// and the server keeps its place.
+TEST_F(SystemCalls, OneFailingConnect_costsNoRequestItsAnswer) {
+    for (const int error : {EADDRNOTAVAIL, EAGAIN, EINTR, ENOBUFS, ENETUNREACH}) {
+        start_with_servers_known();
+        TestClient& c = client();
+        const std::size_t before = arrived();
+        faults.fail(SystemCall::connect, error, 1);
+        EXPECT_EQ(ask_on(c, request("deposit", "id-" + std::to_string(error))).result_int(), 200u)
+            << std::strerror(error);
+        EXPECT_EQ(faults.failed(SystemCall::connect), 1) << std::strerror(error);
+        EXPECT_EQ(sidecar->metrics().excluded, 0u) << std::strerror(error);
+        EXPECT_EQ(arrived(), before + 1);
+        sidecar.reset();
+    }
+}
+
+// ---- Accepting --------------------------------------------------------------------------------------------
+
+// ---- A client's end ---------------------------------------------------------------------------------------
+
+// ---- Reads, writes and waits ------------------------------------------------------------------------------
+
+TEST_F(SystemCalls, OneByteAtATime_servesWhole) {
+    start_with_a();
+    a.script = [](const auto& seen) { return Reply{response("200 OK", seen.body())}; };
+    const std::string body(500, 'x');
+    faults.shorten(SystemCall::receive, 1, at_front());
+    faults.shorten(SystemCall::send, 1, at_front());
+    EXPECT_EQ(ask(request("deposit", "id-1", 5000, body)).body(), body);
+    faults.shorten(SystemCall::receive, 1, to(a));
+    faults.shorten(SystemCall::send, 1, to(a));
+    EXPECT_EQ(ask(request("deposit", "id-2", 5000, body)).body(), body);
+    EXPECT_EQ(a.requests.size(), 2u);
+}
+
+TEST_F(SystemCalls, InterruptedWrites_goOn) {
+    start_with_a();
+    faults.fail(SystemCall::send, EINTR, 5, to(a));
+    EXPECT_EQ(ask(request("deposit", "id-1")).result_int(), 200u);
+    EXPECT_EQ(faults.failed(SystemCall::send), 5);
+    faults.fail(SystemCall::send, EINTR, 5, at_front());
+    EXPECT_EQ(ask(request("deposit", "id-2")).result_int(), 200u);
+    EXPECT_EQ(faults.failed(SystemCall::send), 5);
+    EXPECT_EQ(a.requests.size(), 2u);
+}
+
+// What is broken before the last byte of a request never ran; after that it may have, and is not sent again.
+TEST_F(ConnectingOut, BrokenWriting_neverRan) {
+    for (const int error : {EPIPE, ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
+        faults.fail(SystemCall::send, error, 1, to(a));
+        EXPECT_EQ(one(), Outcome::refused_connection) << std::strerror(error);
+    }
+    EXPECT_EQ(a.requests.size(), 0u);
+}
+TEST_F(ConnectingOut, BrokenReading_mayHaveRun) {
+    for (const int error : {ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
+        faults.fail(SystemCall::receive, error, 1, to(a));
+        EXPECT_EQ(one(), Outcome::severed) << std::strerror(error);
+    }
+    EXPECT_EQ(a.requests.size(), 3u);
+}
+TEST_F(SystemCalls, BrokenReading_failsOnceAndIsNotSentAgain) {
+    for (const int error : {ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
+        start_with_a();
+        const std::size_t before = arrived();
+        faults.fail(SystemCall::receive, error, 1, to(a));
+        const auto answer = ask(request("deposit", "id-" + std::to_string(error)));
+        EXPECT_EQ(faults.failed(SystemCall::receive), 1);
+        EXPECT_EQ(arrived(), before + 1);
+        EXPECT_EQ(answer.result_int(), 502u) << std::strerror(error);
+        sidecar.reset();
+    }
+}
+
+TEST_F(SystemCalls, InterruptedWaits_goOn) {
+    start();
+    faults.fail(SystemCall::epoll_wait, EINTR, 200);
+    for (int i = 0; i < 10; ++i)
+        EXPECT_EQ(ask(request("deposit", "id-" + std::to_string(i))).result_int(), 200u);
+    until([&] { return faults.failed(SystemCall::epoll_wait) == 200; });
+    // Timers too: the watch that nobody answers is begun anew when it is late.
+    faults.fail(SystemCall::epoll_wait, EINTR, 200);
+    until([&] { return agent.requests.size() == 2; });
+}
+
+// ---- Discovery --------------------------------------------------------------------------------------------
+
+constexpr Millis kBound = 6000;  // what a failed call missed counts as told so long after it began
+constexpr Millis kAgain = 100;   // between two calls
+
+struct Watching : SystemCalls {
+    std::vector<Discovery::Failure> failures;
+    std::vector<Millis> told_after;  // by each failure's word, from the first call on
+    std::optional<Discovery> discovery;
+    std::chrono::steady_clock::time_point called;
+
+    void watch(bool persistent = false) {
+        discovery.emplace(io, agent.endpoint(), 41, persistent, 400,
+                          Discovery::Callbacks{[](const MemberList&) {},
+                                               [this](const Discovery::Failure& failure) {
+                                                   failures.push_back(failure);
+                                                   told_after.push_back(since_called() + failure.told_within);
+                                               }});
+        called = std::chrono::steady_clock::now();
+        discovery->watch(true);
+    }
+    Discovery::Failure next_failure() {
+        const std::size_t before = failures.size();
+        until([&] { return failures.size() > before; });
+        return failures.empty() ? Discovery::Failure{} : failures.back();
+    }
+    void expect_bound_from_the_first_call(int error) {
+        for (int calls = 0; calls < 2; ++calls) {
+            EXPECT_EQ(next_failure().kind, ListFailure::broken) << std::strerror(error);
+            EXPECT_LE(told_after.back(), kBound + kAgain / 2) << std::strerror(error);
+            let_pass(span(kAgain));
+            discovery->watch(true);
+        }
+        discovery.reset();
+    }
+    Millis since_called() const { return millis(std::chrono::steady_clock::now() - called); }
+};
+
+// Nobody is there: what is missed counts as told so long after discovery is back.
+TEST_F(Watching, FailureOfDiscovery_boundRunsAnew) {
+    for (const int error : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH}) {
+        faults.fail(SystemCall::connect, error, kForever, to(agent));
+        watch();
+        next_failure();
+        let_pass(span(kAgain));
+        discovery->watch(true);
+        EXPECT_EQ(next_failure().kind, ListFailure::unreachable) << std::strerror(error);
+        EXPECT_GE(told_after.back(), kBound + kAgain / 2) << std::strerror(error);
+        discovery.reset();
+    }
+}
+
+// Where lists are pushed it tries again by itself, in steps, and watches once it can.
+TEST_F(Watching, PersistentWatch_isBegunAnewWithPauses) {
+    for (const int error : {EADDRNOTAVAIL, EMFILE, ENETUNREACH}) {
+        const std::size_t before = agent.requests.size();
+        faults.fail(SystemCall::connect, error, kForever, to(agent));
+        watch(true);
+        let_pass(std::chrono::milliseconds(200));
+        EXPECT_GE(faults.failed(SystemCall::connect), 2) << std::strerror(error);
+        EXPECT_LE(faults.failed(SystemCall::connect), 8) << std::strerror(error);
+        faults.fail(SystemCall::connect, 0, 0);
+        until([&] { return agent.requests.size() > before; });
+        discovery.reset();
+    }
+}
+
+// ---- Datagrams --------------------------------------------------------------------------------------------
+
+struct Members : SystemCalls {
+    static cluster::Settings settings(std::vector<Tcp::endpoint> seeds) {
+        cluster::Settings made;
+        made.bind = Udp::endpoint(asio::ip::address_v4::loopback(), 0);
+        made.seeds = std::move(seeds);
+        made.key = std::string(32, 'k');
+        made.parameters.period = 100;
+        return made;
+    }
+    static Tcp::endpoint tcp_of(const cluster::Agent& agent) {
+        return {agent.address().address(), agent.address().port()};
+    }
+};
+
+}  // namespace
+}  // namespace mothring::node::test
