--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -10,6 +10,7 @@
 #include "node/clock.hpp"
 #include "node/log.hpp"
 #include "node/message.hpp"
+#include "node/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -70,7 +71,8 @@
         }
         ++stats_->opened;
         socket_.async_connect(address, [self = shared_from_this()](error_code failed) {
-            if (failed || !self->exchange_) return self->fail(false);
+            if (!failed && self->never_connected()) failed = asio::error::try_again;
+            if (failed || !self->exchange_) return self->unconnected(failed);
             self->connected_ = true;
             self->expire_never();
             error_code ignored;
@@ -384,6 +386,19 @@
         end(keep, outcome, std::move(response));
     }
 
+    // Asio takes EAGAIN for a connection that is on its way, and the first look at it for its success. A
+    // connection that has been up, and ended, is shut down for reading too.
+    bool never_connected() {
+        const short events = events_now(socket_.native_handle(), POLLRDHUP);
+        return (events & POLLHUP) != 0 && (events & POLLRDHUP) == 0;
+    }
+
+    // Only what is the server's counts against it.
+    void unconnected(error_code why) {
+        if (!exchange_ || !is_local_failure(why)) return fail(false);
+        end(false, Outcome::superseded, {});
+    }
+
     void fail(bool may_have_run) {
         if (!exchange_) return close();
         end(false, may_have_run ? Outcome::severed : Outcome::refused_connection, {});
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -77,6 +77,17 @@
     }
 };
 
+TEST_F(ConnectingOut, FailureOfThisMachine_isNotIssuedAndNoVerdict) {
+    for (const int error : {EADDRNOTAVAIL, EADDRINUSE, EAGAIN, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM,
+                            ENETDOWN, ENETUNREACH, EACCES, EPERM}) {
+        EXPECT_EQ(after_connect_fails_with(error), Outcome::superseded) << std::strerror(error);
+        EXPECT_EQ(faults.failed(SystemCall::connect), 1);
+        EXPECT_EQ(upstream->stats().open, 0u);
+    }
+    EXPECT_EQ(a.requests.size(), 0u);
+    EXPECT_EQ(one(), Outcome::completed);
+}
+
 TEST_F(ConnectingOut, FailureOfTheServer_provesThatItNeverRan) {
     for (const int error : {ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH})
         EXPECT_EQ(after_connect_fails_with(error), Outcome::refused_connection) << std::strerror(error);
@@ -109,6 +120,21 @@
     }
 }
 
+// While no connection comes up a request is refused after its attempts, once, and nobody is out of the pool
+// after that.
+TEST_F(SystemCalls, AllConnectsFailing_refusesAtOnceAndEjectsNobody) {
+    start_with_servers_known();
+    TestClient& c = client();
+    const std::size_t before = arrived();
+    faults.fail(SystemCall::connect, EADDRNOTAVAIL, kForever);
+    EXPECT_EQ(ask_on(c, request("deposit", "id-1")).result_int(), 503u);
+    EXPECT_LE(faults.failed(SystemCall::connect), 4) << "max-attempts";
+    faults.fail(SystemCall::connect, 0, 0);
+    EXPECT_EQ(sidecar->metrics().excluded, 0u);
+    EXPECT_EQ(ask_on(c, request("deposit", "id-2")).result_int(), 200u);
+    EXPECT_EQ(arrived(), before + 1);
+}
+
 // ---- Accepting --------------------------------------------------------------------------------------------
 
 // ---- A client's end ---------------------------------------------------------------------------------------
