--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -17,6 +17,7 @@
 
 #include "node/address.hpp"
 #include "node/clock.hpp"
+#include "node/socket_errors.hpp"
 
 namespace mothring::cluster {
 
@@ -109,6 +110,8 @@
             if (settings_.bind.port() != 0 || tries == kPortTries) throw boost::system::system_error(failed);
         }
         udp_.non_blocking(true);
+        // Else Asio waits for the next connection where one has been aborted.
+        acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     }
 
     // ---- Datagrams
@@ -276,11 +279,13 @@
             error_code failed;
             auto socket = std::make_shared<Tcp::socket>(co_await self->acceptor_.async_accept(into(failed)));
             if (failed == asio::error::operation_aborted || self->closed_) co_return;
-            if (failed) {  // no descriptor is to be had
+            if (failed && !self->accept_pace_.pauses_after(failed)) continue;
+            if (failed) {
                 pause.expires_after(node::span(self->settings_.parameters.period));
                 co_await pause.async_wait(into(failed));
                 continue;
             }
+            self->accept_pace_.succeeded();
             if (self->calls_ >= kCalls) continue;
             asio::co_spawn(self->io_, answer(self, std::move(socket)), asio::detached);
         }
@@ -356,6 +361,7 @@
     Udp::socket udp_;
     Tcp::acceptor acceptor_;
     asio::steady_timer timer_;
+    node::FailurePace accept_pace_;
     std::mt19937_64 random_;
     std::optional<Codec> codec_;
     std::optional<Membership> membership_;
--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -13,6 +13,7 @@
 
 #include "node/clock.hpp"
 #include "node/message.hpp"
+#include "node/socket_errors.hpp"
 #include "settings/site.hpp"
 
 namespace mothring::node {
@@ -557,6 +558,8 @@
     acceptor_.bind(listen);
     address_ = acceptor_.local_endpoint();
     acceptor_.non_blocking(true);
+    // Else Asio waits for the next connection, with no limit, where one has been aborted.
+    acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     acceptor_.listen(asio::socket_base::max_listen_connections);
     if (shared) steer(acceptor_.native_handle());
     accept();
@@ -576,10 +579,12 @@
         if (failed == asio::error::operation_aborted) return;
         accepting_ = false;
         if (!failed) {
+            accept_pace_.succeeded();
             accepted(std::move(socket));
             return accept();
         }
-        timer_.expires_after(span(kAcceptPause));  // out of descriptors, most likely
+        if (!accept_pace_.pauses_after(failed)) return accept();
+        timer_.expires_after(span(kAcceptPause));
         timer_.async_wait([this](error_code cancelled) {
             if (!cancelled) accept();
         });
@@ -683,9 +688,12 @@
     for (error_code failed; failed != asio::error::would_block;) {
         Tcp::socket socket(io_);
         acceptor_.accept(socket, failed);
-        if (!failed) accepted(std::move(socket));
-        if (failed && failed != asio::error::would_block && failed != asio::error::connection_aborted)
+        if (!failed) {
+            accept_pace_.succeeded();
+            accepted(std::move(socket));
+        } else if (failed != asio::error::would_block && accept_pace_.pauses_after(failed)) {
             return drain(kAcceptPause);
+        }
     }
     error_code ignored;
     acceptor_.close(ignored);
--- a/src/node/front.hpp
+++ b/src/node/front.hpp
@@ -14,6 +14,7 @@
 #include "mothring/balancer.hpp"
 #include "node/config.hpp"
 #include "node/pipe.hpp"
+#include "node/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -83,6 +84,7 @@
     std::shared_ptr<Budget> budget_;
     Callbacks callbacks_;
     boost::asio::steady_timer timer_;  // of the next try to accept
+    FailurePace accept_pace_;
     boost::asio::steady_timer drain_timer_;
     std::unordered_set<ClientPtr> clients_;
     std::unordered_map<RequestId, ClientPtr> held_;
--- a/src/node/operator.cpp
+++ b/src/node/operator.cpp
@@ -7,6 +7,7 @@
 
 #include "node/clock.hpp"
 #include "node/message.hpp"
+#include "node/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -114,6 +115,8 @@
 
 OperatorListener::OperatorListener(asio::io_context& io, const Tcp::endpoint& listen, Callbacks callbacks)
     : io_(io), acceptor_(io, listen, true), callbacks_(std::move(callbacks)), timer_(io) {
+    // Else Asio waits for the next connection where one has been aborted.
+    acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     acceptor_.listen(asio::socket_base::max_listen_connections);
     accept();
 }
@@ -126,11 +129,13 @@
     acceptor_.async_accept([this](error_code failed, Tcp::socket socket) {
         if (failed == asio::error::operation_aborted) return;
         if (!failed) {
+            accept_pace_.succeeded();
             make_room();
             calls_.push_back(std::make_shared<Call>(*this, std::move(socket)));
             CallPtr(calls_.back())->begin();
             return accept();
         }
+        if (!accept_pace_.pauses_after(failed)) return accept();
         timer_.expires_after(span(kAcceptAgain));
         timer_.async_wait([this](error_code cancelled) {
             if (!cancelled) accept();
--- a/src/node/operator.hpp
+++ b/src/node/operator.hpp
@@ -10,6 +10,7 @@
 #include <string>
 
 #include "node/config.hpp"
+#include "node/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -41,7 +42,8 @@
     Tcp::acceptor acceptor_;
     Callbacks callbacks_;
     boost::asio::steady_timer timer_;  // of the next try to accept
-    std::list<CallPtr> calls_;         // the longest here first
+    FailurePace accept_pace_;
+    std::list<CallPtr> calls_;  // the longest here first
 };
 
 }  // namespace mothring::node
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -137,6 +137,68 @@
 
 // ---- Accepting --------------------------------------------------------------------------------------------
 
+TEST_F(SystemCalls, AcceptFailingForOneConnection_takesTheNextAtOnce) {
+    start();
+    for (const int error : {ECONNABORTED, EPROTO, EINTR, EHOSTUNREACH, ETIMEDOUT, EMFILE}) {
+        faults.fail(SystemCall::accept, error, 1, at_front());
+        EXPECT_EQ(ask(request("listen", "id-" + std::to_string(error))).result_int(), 200u)
+            << std::strerror(error);
+        EXPECT_EQ(faults.failed(SystemCall::accept), 1) << std::strerror(error);
+    }
+}
+
+// However long it fails, it neither keeps the sidecar busy nor ends its listening.
+TEST_F(SystemCalls, AcceptFailingForLong_pauses) {
+    start();
+    for (const int error : {ECONNABORTED, EMFILE}) {
+        faults.fail(SystemCall::accept, error, kForever, at_front());
+        TestClient& waiting = client();
+        waiting.send(request("listen", "id-" + std::to_string(error)));
+        let_pass(std::chrono::milliseconds(200));
+        EXPECT_GE(faults.failed(SystemCall::accept), 2) << std::strerror(error);
+        EXPECT_LE(faults.failed(SystemCall::accept), 400) << std::strerror(error);
+        faults.fail(SystemCall::accept, 0, 0);
+        until([&] { return waiting.answers.size() == 1; });
+    }
+}
+
+// The end of a drain looks for what the machine has accepted, and must not wait for it.
+TEST_F(SystemCalls, AcceptFailingAtTheEndOfADrain_neitherWaitsNorLosesWhatCame) {
+    for (const int error : {ECONNABORTED, EPROTO, EINTR, EMFILE, ENOBUFS}) {
+        start();
+        // Signals come now and then: only the others go on.
+        faults.fail(SystemCall::accept, error, error == EINTR ? 3 : kForever, at_front());
+        TestClient& waiting = client();
+        waiting.send(request("listen", "id-" + std::to_string(error)));
+        bool drained = false;
+        sidecar->drain([&] { drained = true; });
+        let_pass(std::chrono::milliseconds(600));  // past the time for which new connections come
+        EXPECT_EQ(faults.endless_waits(), 0) << std::strerror(error);
+        EXPECT_TRUE(error == EINTR || !drained) << std::strerror(error);
+        faults.fail(SystemCall::accept, 0, 0);
+        until([&] { return drained && waiting.ended; });
+        ASSERT_EQ(waiting.answers.size(), 1u) << std::strerror(error);
+        EXPECT_EQ(waiting.answers[0].result_int(), 200u) << std::strerror(error);
+        sidecar.reset();
+    }
+}
+
+TEST_F(SystemCalls, AcceptFailingForAnOperator_takesTheNextAtOnce) {
+    start_with_operators({{"s-a", a.address()}});
+    const Ports at_operators{sidecar->operator_address()->port(), 0};
+    for (const int error : {ECONNABORTED, EPROTO, EINTR, EMFILE}) {
+        faults.fail(SystemCall::accept, error, 1, at_operators);
+        TestClient& caller = clients.emplace_back(io, *sidecar->operator_address());
+        caller.send("GET /ready HTTP/1.1\r\nHost: ops\r\n\r\n");
+        until([&] { return caller.answers.size() == 1; });
+        EXPECT_EQ(faults.failed(SystemCall::accept), 1) << std::strerror(error);
+    }
+    faults.fail(SystemCall::accept, ECONNABORTED, kForever, at_operators);
+    clients.emplace_back(io, *sidecar->operator_address());
+    let_pass(std::chrono::milliseconds(200));
+    EXPECT_LE(faults.failed(SystemCall::accept), 400);
+}
+
 // ---- A client's end ---------------------------------------------------------------------------------------
 
 // ---- Reads, writes and waits ------------------------------------------------------------------------------
@@ -287,5 +349,22 @@
     }
 };
 
+TEST_F(Members, AcceptFailingForOneConnection_takesTheNextAtOnce) {
+    cluster::Agent agent_of_first(io, settings({}), "n1", "1", {});
+    const Ports at_first{agent_of_first.address().port(), 0};
+    const auto rejected = [&] {
+        return agent_of_first.figures().rejected[static_cast<std::size_t>(cluster::Rejection::oversized)];
+    };
+    for (const int error : {ECONNABORTED, EPROTO, EINTR, EMFILE}) {
+        const auto before = rejected();
+        faults.fail(SystemCall::accept, error, 1, at_first);
+        Tcp::socket caller(io);
+        caller.connect(tcp_of(agent_of_first));
+        asio::write(caller, asio::buffer("\xff\xff\xff\xff", 4));  // the length of what follows
+        until([&] { return rejected() == before + 1; });
+        EXPECT_EQ(faults.failed(SystemCall::accept), 1) << std::strerror(error);
+    }
+}
+
 }  // namespace
 }  // namespace mothring::node::test
