--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -1,7 +1,6 @@
 #include "node/front.hpp"
 
 #include <linux/filter.h>
-#include <poll.h>
 #include <sys/socket.h>
 
 #include <array>
@@ -54,8 +53,7 @@
 // Whether any of these has come, without waiting for it.
 template <class Socket>
 bool look(Socket& socket, short events) {
-    pollfd entry{socket.native_handle(), events, 0};
-    return ::poll(&entry, 1, 0) > 0 && (entry.revents & events) != 0;
+    return (events_now(socket.native_handle(), events) & events) != 0;
 }
 
 std::string text(boost::beast::string_view view) { return {view.data(), view.size()}; }
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -201,6 +201,21 @@
 
 // ---- A client's end ---------------------------------------------------------------------------------------
 
+// The look at its connection right before the first byte of an attempt is interrupted, and is made again.
+TEST_F(SystemCalls, InterruptedLook_stillSeesThatTheClientHasLeft) {
+    start_with_a();
+    EXPECT_EQ(ask(request("deposit", "id-1")).result_int(), 200u);
+    let_rest(io);
+    TestClient& leaving = client();
+    faults.fail(SystemCall::poll, EINTR, 1, at_front());
+    leaving.send(request("deposit", "id-left"));
+    leaving.close();
+    until([&] { return faults.failed(SystemCall::poll) == 1; });
+    until([&] { return nothing_out(); });
+    EXPECT_EQ(ask(request("deposit", "id-3")).result_int(), 200u);
+    for (const auto& seen : a.requests) EXPECT_NE(seen["Request-Id"], "id-left");
+}
+
 // ---- Reads, writes and waits ------------------------------------------------------------------------------
 
 TEST_F(SystemCalls, OneByteAtATime_servesWhole) {
