--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -235,7 +235,7 @@
         char byte;
         error_code error;
         socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
-        if (error == asio::error::would_block)
+        if (is_to_be_repeated(error))
             wait_readable();
         else if (error && phase_ != Phase::answering)
             close();
@@ -263,7 +263,7 @@
         const std::size_t space = buffer_.max_size() - buffer_.size();
         const std::size_t size = std::min(space, receiving() ? kPiece : kHeadPiece);
         const std::size_t count = socket_.read_some(buffer_.prepare(size), error);
-        if (error == asio::error::would_block) {
+        if (is_to_be_repeated(error)) {
             if (phase_ == Phase::idle) buffer_.shrink_to_fit();
             wait_readable();
             return false;
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -261,7 +261,7 @@
         error_code error;
         const std::size_t size = std::min(buffer_.max_size() - buffer_.size(), pipe_ ? kPiece : kHeadPiece);
         const std::size_t count = socket_.read_some(buffer_.prepare(size), error);
-        if (error == asio::error::would_block) {
+        if (is_to_be_repeated(error)) {
             wait_readable();
             return false;
         }
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -231,6 +231,42 @@
     EXPECT_EQ(a.requests.size(), 2u);
 }
 
+TEST_F(SystemCalls, InterruptedReadOfAClient_losesNoRequest) {
+    start_with_a();
+    for (int times = 1; times <= 8; ++times) {
+        faults.fail(SystemCall::receive, EINTR, times, at_front());
+        EXPECT_EQ(ask(request("deposit", "id-" + std::to_string(times))).result_int(), 200u) << times;
+        EXPECT_EQ(faults.failed(SystemCall::receive), times);
+    }
+    EXPECT_EQ(a.requests.size(), 8u);
+}
+
+// The next request comes early, and the look at it while the first waits for its answer is interrupted.
+TEST_F(SystemCalls, InterruptedLookAtAnEarlyRequest_losesNeither) {
+    start_with_a();
+    a.script = silence;
+    TestClient& c = client();
+    c.send(request("listen", "id-1"));
+    until([&] { return a.requests.size() == 1; });
+    faults.fail(SystemCall::receive, EINTR, 1, at_front());
+    c.send(request("listen", "id-2"));
+    until([&] { return faults.failed(SystemCall::receive) == 1; });
+    a.script = serve;
+    a.send(0, response("200 OK", "served"));
+    until([&] { return c.answers.size() == 2 || c.ended; });
+    EXPECT_EQ(c.answers.size(), 2u);
+}
+
+TEST_F(SystemCalls, InterruptedReadOfAnAnswer_isReadAgain) {
+    start_with_a();
+    for (int times = 1; times <= 4; ++times) {
+        faults.fail(SystemCall::receive, EINTR, times, to(a));
+        EXPECT_EQ(ask(request("deposit", "id-" + std::to_string(times))).result_int(), 200u) << times;
+        EXPECT_GE(faults.failed(SystemCall::receive), 1);
+    }
+    EXPECT_EQ(a.requests.size(), 4u);
+}
+
 TEST_F(SystemCalls, InterruptedWrites_goOn) {
     start_with_a();
     faults.fail(SystemCall::send, EINTR, 5, to(a));
