--- a/include/mothring/balancer.hpp
+++ b/include/mothring/balancer.hpp
@@ -102,7 +102,8 @@
 enum class ListFailure {
     unreachable,  // nobody accepts connections there
     turned_away,  // answered that it can't be handled now
-    broken,       // the connection ended without an answer, or with one that can't be read
+    broken,       // the connection ended without an answer, or with one that can't be read, or was never
+                  // asked for, for want of something here
     silent        // no answer in time
 };
 
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -10,6 +10,7 @@
 #include "node/clock.hpp"
 #include "node/log.hpp"
 #include "node/message.hpp"
+#include "node/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -56,7 +57,7 @@
         });
         if (socket_.is_open()) return write();
         socket_.async_connect(address_, [self = shared_from_this()](error_code failed) {
-            if (failed) return self->end("not connected: " + failed.message(), ListFailure::unreachable);
+            if (failed) return self->unconnected(failed);
             log(spdlog::level::debug, "discovery.connected", {{"after_ms", self->age()}});
             error_code ignored;
             self->socket_.set_option(Tcp::no_delay(true), ignored);
@@ -78,6 +79,12 @@
             self->read();
         });
     }
+    // What is this machine's own want says nothing of discovery: it may be reachable, and the time until
+    // what it has to tell counts as told runs on.
+    void unconnected(error_code why) {
+        end("not connected: " + why.message(),
+            is_local_failure(why) ? ListFailure::broken : ListFailure::unreachable);
+    }
     void read() {
         parser_.emplace();
         async_read_bounded(
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -355,6 +355,24 @@
     Millis since_called() const { return millis(std::chrono::steady_clock::now() - called); }
 };
 
+// Discovery may well be reachable: the bound runs from the first of the calls, however many fail.
+TEST_F(Watching, FailureOfThisMachine_boundRunsFromTheFirstCall) {
+    for (const int error :
+         {EADDRNOTAVAIL, EADDRINUSE, EAGAIN, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, ENETDOWN, ENETUNREACH}) {
+        faults.fail(SystemCall::connect, error, kForever, to(agent));
+        watch();
+        expect_bound_from_the_first_call(error);
+    }
+}
+
+TEST_F(Watching, NoSocket_boundRunsFromTheFirstCall) {
+    for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
+        faults.fail(SystemCall::socket, error, kForever);
+        watch();
+        expect_bound_from_the_first_call(error);
+    }
+}
+
 // Nobody is there: what is missed counts as told so long after discovery is back.
 TEST_F(Watching, FailureOfDiscovery_boundRunsAnew) {
     for (const int error : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH}) {
