--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -27,10 +27,11 @@
 
 namespace {
 
-constexpr int kPortTries = 32;      // for a port that is free for both UDP and TCP
-constexpr int kDrained = 256;       // datagrams read before what is due is judged
-constexpr std::size_t kCalls = 16;  // exchanges answered at a time
-constexpr double kRateWindow = 10;  // periods
+constexpr int kPortTries = 32;        // for a port that is free for both UDP and TCP
+constexpr int kDrained = 256;         // datagrams read before what is due is judged
+constexpr std::size_t kCalls = 16;    // exchanges answered at a time
+constexpr Millis kReceiveAgain = 20;  // when nothing can be received
+constexpr double kRateWindow = 10;    // periods
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
@@ -49,6 +50,7 @@
           udp_(io),
           acceptor_(io),
           timer_(io),
+          receive_again_(io),
           random_(std::random_device{}()) {
         listen();
         Claim self;
@@ -74,6 +76,7 @@
         udp_.close(ignored);
         acceptor_.close(ignored);
         timer_.cancel();
+        receive_again_.cancel();
     }
     void leave() {
         Effects effects;
@@ -119,18 +122,27 @@
     void receive() {
         udp_.async_wait(Udp::socket::wait_read, [self = shared_from_this()](error_code failed) {
             if (failed || self->closed_) return;
-            self->drain();
+            const bool goes_on = self->drain();
             self->due();
-            self->receive();
+            goes_on ? self->receive() : self->receive_later();
         });
     }
-    void drain() {
+    void receive_later() {
+        receive_again_.expires_after(node::span(kReceiveAgain));
+        receive_again_.async_wait([self = shared_from_this()](error_code cancelled) {
+            if (!cancelled && !self->closed_) self->receive();
+        });
+    }
+    // Whether more can be received as soon as it comes.
+    bool drain() {
         for (int i = 0; i < kDrained; ++i) {
             Udp::endpoint sender;
             error_code failed;
             const std::size_t size = udp_.receive_from(asio::buffer(buffer_), sender, 0, failed);
-            if (failed == asio::error::would_block || failed == asio::error::try_again) return;
+            if (failed == asio::error::would_block || failed == asio::error::try_again) return true;
+            if (failed && receive_pace_.pauses_after(failed)) return false;
             if (failed) continue;
+            receive_pace_.succeeded();
             auto opened = codec_->open({buffer_.data(), size}, Codec::kLongestDatagram);
             if (const auto* const why = std::get_if<Rejection>(&opened)) {
                 reject(*why, node::written(sender));
@@ -145,6 +157,7 @@
             membership_->receive(clock_.now(), *message, node::written(sender), effects);
             carry_out(effects);
         }
+        return true;
     }
     void reject(Rejection why, const std::string& from) {
         ++figures_.rejected[static_cast<std::size_t>(why)];
@@ -360,8 +373,8 @@
     node::Clock clock_;
     Udp::socket udp_;
     Tcp::acceptor acceptor_;
-    asio::steady_timer timer_;
-    node::FailurePace accept_pace_;
+    asio::steady_timer timer_, receive_again_;
+    node::FailurePace receive_pace_, accept_pace_;
     std::mt19937_64 random_;
     std::optional<Codec> codec_;
     std::optional<Membership> membership_;
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -3,15 +3,26 @@
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
 
+#include "node/clock.hpp"
 #include "node/log.hpp"
 
 namespace mothring::node {
 
 using boost::system::error_code;
 
+namespace {
+
+constexpr Millis kReceiveAgain = 20;  // when nothing can be received
+
+}  // namespace
+
 Peers::Peers(boost::asio::io_context& io, const Udp::endpoint& listen, std::vector<Udp::endpoint> peers,
              std::optional<Udp::endpoint> all, Received received)
-    : socket_(io, listen), peers_(std::move(peers)), all_(std::move(all)), received_(std::move(received)) {
+    : socket_(io, listen),
+      again_(io),
+      peers_(std::move(peers)),
+      all_(std::move(all)),
+      received_(std::move(received)) {
     socket_.non_blocking(true);
     receive();
 }
@@ -27,15 +38,25 @@
     socket_.async_receive_from(boost::asio::buffer(buffer_), sender_,
                                [this](error_code failed, std::size_t size) {
                                    if (failed == boost::asio::error::operation_aborted) return;
+                                   if (failed) return receive_after(failed);
+                                   pace_.succeeded();
                                    const auto from = std::find(peers_.begin(), peers_.end(), sender_);
-                                   if (!failed && (size > kLongest || from == peers_.end()))
+                                   if (size > kLongest || from == peers_.end())
                                        stray_.log(spdlog::level::warn, "peer.stray_datagram",
                                                   {{"bytes", size}, {"from", sender_.address().to_string()}});
-                                   else if (!failed)
+                                   else
                                        received_(static_cast<std::uint32_t>(from - peers_.begin()),
                                                  {buffer_.begin(), buffer_.begin() + size});
                                    receive();
                                });
 }
 
+void Peers::receive_after(error_code failed) {
+    if (!pace_.pauses_after(failed)) return receive();
+    again_.expires_after(span(kReceiveAgain));
+    again_.async_wait([this](error_code cancelled) {
+        if (!cancelled) receive();
+    });
+}
+
 }  // namespace mothring::node
--- a/src/node/peers.hpp
+++ b/src/node/peers.hpp
@@ -4,12 +4,14 @@
 #include <array>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/udp.hpp>
+#include <boost/asio/steady_timer.hpp>
 #include <functional>
 #include <optional>
 #include <vector>
 
 #include "node/config.hpp"
 #include "node/log.hpp"
+#include "node/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -28,8 +30,11 @@
 
 private:
     void receive();
+    void receive_after(boost::system::error_code failed);
 
     Udp::socket socket_;
+    boost::asio::steady_timer again_;  // after a pause
+    FailurePace pace_;
     std::vector<Udp::endpoint> peers_;
     std::optional<Udp::endpoint> all_;
     Received received_;
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -404,6 +404,33 @@
 
 // ---- Datagrams --------------------------------------------------------------------------------------------
 
+TEST_F(SystemCalls, ReceivingFromPeersFailingForLong_pauses) {
+    const Udp::endpoint anywhere(asio::ip::address_v4::loopback(), 0);
+    Udp::socket peer(io, anywhere);
+    std::size_t received = 0;
+    Peers peers(io, anywhere, {peer.local_endpoint()}, std::nullopt,
+                [&](std::uint32_t, const std::vector<std::uint8_t>&) { ++received; });
+    const Ports at_peers{peers.address().port(), 0};
+    const std::array<std::uint8_t, 3> bytes{1, 2, 3};
+    for (const int error : {ECONNREFUSED, ENOBUFS, ENOMEM}) {
+        faults.fail(SystemCall::receive, error, kForever, at_peers);
+        const std::size_t before = received;
+        peer.send_to(asio::buffer(bytes), peers.address());
+        let_pass(std::chrono::milliseconds(200));
+        EXPECT_GE(faults.failed(SystemCall::receive), 2) << std::strerror(error);
+        EXPECT_LE(faults.failed(SystemCall::receive), 400) << std::strerror(error);
+        faults.fail(SystemCall::receive, 0, 0);
+        until([&] { return received == before + 1; });
+    }
+    // Once, and the datagram behind it is read at once.
+    for (int i = 0; i < 3; ++i) {
+        faults.fail(SystemCall::receive, ECONNREFUSED, 1, at_peers);
+        const std::size_t before = received;
+        peer.send_to(asio::buffer(bytes), peers.address());
+        until([&] { return received == before + 1; });
+    }
+}
+
 struct Members : SystemCalls {
     static cluster::Settings settings(std::vector<Tcp::endpoint> seeds) {
         cluster::Settings made;
@@ -435,5 +462,19 @@
     }
 }
 
+TEST_F(Members, ReceivingFailingForLong_pauses) {
+    cluster::Agent first(io, settings({}), "n1", "1", {});
+    const Ports at_first{first.address().port(), 0};
+    faults.fail(SystemCall::receive, ENOMEM, kForever, at_first);
+    cluster::Agent second(io, settings({tcp_of(first)}), "n2", "1", {});
+    Udp::socket stranger(io, Udp::endpoint(asio::ip::address_v4::loopback(), 0));
+    stranger.send_to(asio::buffer("x", 1), first.address());
+    let_pass(std::chrono::milliseconds(200));
+    EXPECT_GE(faults.failed(SystemCall::receive), 1);
+    EXPECT_LE(faults.failed(SystemCall::receive), 4000);
+    faults.fail(SystemCall::receive, 0, 0);
+    until([&] { return first.figures().view.present() == 2 && second.figures().view.present() == 2; });
+}
+
 }  // namespace
 }  // namespace mothring::node::test
