--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,18 +8,21 @@
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <cerrno>
+#include <chrono>
 #include <cstring>
 #include <filesystem>
 #include <functional>
 #include <iostream>
 #include <optional>
 #include <string>
+#include <thread>
 #include <vector>
 
 #include "node/config.hpp"
 #include "node/log.hpp"
 #include "node/options.hpp"
 #include "node/sidecar.hpp"
+#include "node/socket_errors.hpp"
 
 namespace {
 
@@ -29,42 +32,59 @@
     return path ? node::load_options(*path) : node::Options{};
 }
 
-int run(const std::optional<std::filesystem::path>& options_path) {
-    try {
-        const node::Options options = options_at(options_path);
-        node::Config config = node::effective_config(options);
-        node::log_start(config.name, options.log_level);
-        boost::asio::io_context io(1);
-        // Before anything listens: from then on a signal may come, and its default action would end all.
-        boost::asio::signal_set signals(io, SIGTERM, SIGINT), reload(io, SIGHUP);
-        node::Sidecar sidecar(io, std::move(config));
-        signals.async_wait([&](boost::system::error_code failed, int) {
-            if (!failed) sidecar.drain([&] { io.stop(); });
-        });
-        std::function<void()> await_reload = [&] {
-            reload.async_wait([&](boost::system::error_code failed, int) {
-                if (failed) return;
-                await_reload();
-                try {
-                    const node::Options again = options_at(options_path);
-                    sidecar.reconfigure(node::effective_config(again));
-                } catch (const std::exception& error) {  // what it has goes on serving
-                    node::log(mothring::node::LogLevel::err, "config.reload_failed",
-                              {{"error", error.what()}});
-                }
-            });
-        };
-        await_reload();
-        while (!io.stopped()) try {
-                io.run();
-            } catch (const std::exception& error) {  // what one connection threw does not end the others
-                node::log(mothring::node::LogLevel::err, "io.failed", {{"error", error.what()}});
+int not_started(const std::exception& error) {
+    std::cerr << "mothring: " << error.what() << '\n';
+    return 1;
+}
+
+// Throws where it can't start.
+void serve(const std::optional<std::filesystem::path>& options_path) {
+    const node::Options options = options_at(options_path);
+    node::Config config = node::effective_config(options);
+    node::log_start(config.name, options.log_level);
+    boost::asio::io_context io(1);
+    // Before anything listens: from then on a signal may come, and its default action would end all.
+    boost::asio::signal_set signals(io, SIGTERM, SIGINT), reload(io, SIGHUP);
+    node::Sidecar sidecar(io, std::move(config));
+    signals.async_wait([&](boost::system::error_code failed, int) {
+        if (!failed) sidecar.drain([&] { io.stop(); });
+    });
+    std::function<void()> await_reload = [&] {
+        reload.async_wait([&](boost::system::error_code failed, int) {
+            if (failed) return;
+            await_reload();
+            try {
+                const node::Options again = options_at(options_path);
+                sidecar.reconfigure(node::effective_config(again));
+            } catch (const std::exception& error) {  // what it has goes on serving
+                node::log(node::LogLevel::err, "config.reload_failed", {{"error", error.what()}});
             }
-    } catch (const std::exception& error) {
-        std::cerr << "mothring: " << error.what() << '\n';
-        return 1;
-    }
-    return 0;
+        });
+    };
+    await_reload();
+    while (!io.stopped()) try {
+            io.run();
+        } catch (const std::exception& error) {  // what one connection threw does not end the others
+            node::log(node::LogLevel::err, "io.failed", {{"error", error.what()}});
+        }
+}
+
+// A start that finds this machine out of descriptors or memory is made again for a while: 5 s in all, half of
+// the time within which most sidecars have to be ready (STANDING, "Pass or fail").
+constexpr int kStarts = 100;
+constexpr std::chrono::milliseconds kStartAgain(50);
+
+int run(const std::optional<std::filesystem::path>& options_path) {
+    for (int starts = 1;; ++starts) try {
+            serve(options_path);
+            return 0;
+        } catch (const boost::system::system_error& error) {
+            if (!node::is_shortage(error.code()) || starts == kStarts) return not_started(error);
+            node::log(node::LogLevel::warn, "start.put_off", {{"error", error.what()}});
+            std::this_thread::sleep_for(kStartAgain);
+        } catch (const std::exception& error) {
+            return not_started(error);
+        }
 }
 
 // Exit 0 with the effective settings on standard output; 2 with the key and reason on standard error.
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -14,6 +14,7 @@
 
 #include "node/log.hpp"
 #include "node/message.hpp"
+#include "node/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -82,6 +83,7 @@
                                OperatorListener::Callbacks{[this] { return ready(); },
                                                            [this] { return render(metrics()); }});
         } catch (const boost::system::system_error& error) {
+            if (is_shortage(error.code())) throw;
             throw ConfigError("'operator' can't be listened on: " + error.code().message());
         }
         // An address of the system's choice is nobody else's.
@@ -157,6 +159,7 @@
     try {
         cluster_.emplace(io_, *config_.cluster, config_.name, MOTHRING_VERSION, std::move(callbacks));
     } catch (const boost::system::system_error& error) {
+        if (is_shortage(error.code())) throw;
         throw ConfigError("'cluster.bind' can't be listened on: " + error.code().message());
     }
 }
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -1,8 +1,16 @@
 // What fails for a moment at this machine costs no request its answer, says nothing of the servers or of
 // discovery, and keeps nobody busy.
+#include <poll.h>
+#include <sys/resource.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
 #include <array>
 #include <cerrno>
+#include <csignal>
 #include <cstring>
+#include <filesystem>
+#include <fstream>
 
 #include "cluster/agent.hpp"
 #include "net_rig.hpp"
@@ -476,5 +484,77 @@
     until([&] { return first.figures().view.present() == 2 && second.figures().view.present() == 2; });
 }
 
+// ---- The start --------------------------------------------------------------------------------------------
+
+/// The program, with at most so many descriptors at first, and what it logs.
+class StartedProgram {
+public:
+    explicit StartedProgram(rlim_t descriptors) {
+        std::ofstream(config_) << config_json("127.0.0.1:9",
+                                              list_json(41, true, {{"s-a", "127.0.0.1:9", "Ready"}}));
+        int ends[2];
+        if (::pipe(ends) != 0) throw std::runtime_error("no pipe");
+        child_ = ::fork();
+        if (child_ == 0) run(ends[1], descriptors);
+        ::close(ends[1]);
+        log_ = ends[0];
+    }
+    ~StartedProgram() {
+        ::kill(child_, SIGKILL);
+        ::waitpid(child_, nullptr, 0);
+        ::close(log_);
+        std::filesystem::remove(config_);
+    }
+    StartedProgram(const StartedProgram&) = delete;
+    StartedProgram& operator=(const StartedProgram&) = delete;
+
+    void allow(rlim_t descriptors) const {  // in the child itself: 0, its own
+        rlimit limit{};
+        ::prlimit(child_, RLIMIT_NOFILE, nullptr, &limit);
+        limit.rlim_cur = descriptors;
+        ::prlimit(child_, RLIMIT_NOFILE, &limit, nullptr);
+    }
+    /// Whether it logs that before it ends, within 10 s.
+    bool logs(const std::string& text) {
+        const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
+        while (logged_.find(text) == std::string::npos) {
+            pollfd entry{log_, POLLIN, 0};
+            char piece[1024];
+            if (std::chrono::steady_clock::now() > limit || ::poll(&entry, 1, 1000) < 0) return false;
+            const ssize_t size = entry.revents != 0 ? ::read(log_, piece, sizeof piece) : -1;
+            if (size == 0) return false;
+            if (size > 0) logged_.append(piece, static_cast<std::size_t>(size));
+        }
+        return true;
+    }
+    const std::string& logged() const { return logged_; }
+
+private:
+    [[noreturn]] void run(int log, rlim_t descriptors) const {
+        ::dup2(log, STDERR_FILENO);
+        for (int file = 3; file < 1024; ++file) ::close(file);
+        ::setenv("LB_CONFIG", config_.c_str(), 1);
+        allow(descriptors);
+        ::execl(MOTHRING_BIN, MOTHRING_BIN, static_cast<char*>(nullptr));
+        ::_exit(127);
+    }
+
+    std::filesystem::path config_ =
+        std::filesystem::temp_directory_path() / ("mothring-start-" + std::to_string(::getpid()));
+    pid_t child_ = 0;
+    int log_ = -1;
+    std::string logged_;
+};
+
+// Enough for reading the configuration, but not for all that it opens after that.
+TEST(Starting, NoDescriptorForAWhile_startsOnceThereIsOne) {
+    for (const rlim_t descriptors : {4, 7, 8}) {
+        StartedProgram program(descriptors);
+        EXPECT_TRUE(program.logs("start.put_off")) << program.logged();
+        program.allow(256);
+        EXPECT_TRUE(program.logs("sidecar.listening")) << program.logged();
+    }
+}
+
 }  // namespace
 }  // namespace mothring::node::test
