--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -1,7 +1,6 @@
 #include "node/front.hpp"
 
 #include <linux/filter.h>
-#include <poll.h>
 #include <sys/socket.h>
 
 #include <array>
@@ -13,6 +12,7 @@
 
 #include "node/clock.hpp"
 #include "node/message.hpp"
+#include "node/socket_errors.hpp"
 #include "settings/site.hpp"
 
 namespace mothring::node {
@@ -53,8 +53,7 @@
 // Whether any of these has come, without waiting for it.
 template <class Socket>
 bool look(Socket& socket, short events) {
-    pollfd entry{socket.native_handle(), events, 0};
-    return ::poll(&entry, 1, 0) > 0 && (entry.revents & events) != 0;
+    return (events_now(socket.native_handle(), events) & events) != 0;
 }
 
 std::string text(boost::beast::string_view view) { return {view.data(), view.size()}; }
@@ -242,7 +241,7 @@
         char byte;
         error_code error;
         socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
-        if (error == asio::error::would_block)
+        if (is_to_be_repeated(error))
             wait_readable();
         else if (!error)
             stands_unread();
@@ -279,7 +278,7 @@
         const std::size_t space = buffer_.max_size() - buffer_.size();
         const std::size_t size = std::min(space, receiving() ? kPiece : kHeadPiece);
         const std::size_t count = socket_.read_some(buffer_.prepare(size), error);
-        if (error == asio::error::would_block) {
+        if (is_to_be_repeated(error)) {
             if (phase_ == Phase::idle) buffer_.shrink_to_fit();
             unread_since_.reset();
             wait_readable();
@@ -617,6 +616,8 @@
     acceptor_.bind(listen);
     address_ = acceptor_.local_endpoint();
     acceptor_.non_blocking(true);
+    // Else Asio waits for the next connection, with no limit, where one has been aborted.
+    acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     acceptor_.listen(asio::socket_base::max_listen_connections);
     if (shared) steer(acceptor_.native_handle());
     accept();
@@ -636,10 +637,12 @@
         if (failed == asio::error::operation_aborted) return;
         accepting_ = false;
         if (!failed) {
+            accept_pace_.succeeded();
             accepted(std::move(socket));
             return accept();
         }
-        timer_.expires_after(span(kAcceptPause));  // out of descriptors, most likely
+        if (!accept_pace_.pauses_after(failed)) return accept();
+        timer_.expires_after(span(kAcceptPause));
         timer_.async_wait([this](error_code cancelled) {
             if (!cancelled) accept();
         });
@@ -748,9 +751,12 @@
     for (error_code failed; failed != asio::error::would_block;) {
         Tcp::socket socket(io_);
         acceptor_.accept(socket, failed);
-        if (!failed) accepted(std::move(socket));
-        if (failed && failed != asio::error::would_block && failed != asio::error::connection_aborted)
+        if (!failed) {
+            accept_pace_.succeeded();
+            accepted(std::move(socket));
+        } else if (failed != asio::error::would_block && accept_pace_.pauses_after(failed)) {
             return drain(kAcceptPause);
+        }
     }
     error_code ignored;
     acceptor_.close(ignored);
--- /dev/null
+++ b/tests/system_call_test.cpp
@@ -0,0 +1,560 @@
+// What fails for a moment at this machine costs no request its answer, says nothing of the servers or of
+// discovery, and keeps nobody busy.
+#include <poll.h>
+#include <sys/resource.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <array>
+#include <cerrno>
+#include <csignal>
+#include <cstring>
+#include <filesystem>
+#include <fstream>
+
+#include "cluster/agent.hpp"
+#include "net_rig.hpp"
+#include "node/clock.hpp"
+#include "node/discovery.hpp"
+#include "node/peers.hpp"
+#include "system_call_faults.hpp"
+
+namespace mothring::node::test {
+namespace {
+
+using mothring::test::Ports;
+using mothring::test::SystemCall;
+using mothring::test::SystemCallFaults;
+
+constexpr int kForever = 1 << 30;
+constexpr ServerId kServer = 7;
+
+struct SystemCalls : NetRig {
+    SystemCallFaults faults;
+
+    Ports at_front() const { return {sidecar->address().port(), 0}; }
+    static Ports to(const ScriptedServer& server) { return {0, server.endpoint().port()}; }
+    // The loop goes on for so long, whatever happens.
+    void let_pass(std::chrono::microseconds length) {
+        const auto end = std::chrono::steady_clock::now() + length;
+        until([&] { return std::chrono::steady_clock::now() >= end; });
+    }
+    /// Two servers that have served, and close after each answer, so that each attempt has to connect.
+    void start_with_servers_known() {
+        a.script = b.script = [](const auto&) {
+            return Reply{response("200 OK", "served", "Connection: close\r\n"), true};
+        };
+        start();
+        for (int i = 0; i < 10; ++i)
+            EXPECT_EQ(ask(request("deposit", "known-" + std::to_string(i))).result_int(), 200u);
+        until([&] { return watched_from("41"); });
+    }
+    /// A request on a connection that is there.
+    TestClient::Answer ask_on(TestClient& c, const std::string& bytes) {
+        const std::size_t before = c.answers.size();
+        c.send(bytes);
+        until([&] { return c.answers.size() > before || c.ended; });
+        return c.answers.size() > before ? c.answers.back() : TestClient::Answer{};
+    }
+    bool nothing_out() const { return sidecar->metrics().in_flight == 0; }
+};
+
+// ---- Connections to servers -------------------------------------------------------------------------------
+
+struct ConnectingOut : SystemCalls {
+    std::optional<Upstream> upstream;
+    std::vector<Outcome> outcomes;
+
+    ConnectingOut() {
+        upstream.emplace(io, Upstream::Limits{}, std::make_shared<Budget>(Budget{16 << 20}));
+        upstream->set_server(kServer, a.endpoint(), 0);
+    }
+    Outcome one() {
+        Upstream::Request request;
+        request.message.method(http::verb::post);
+        request.message.target("/deposit");
+        const std::size_t before = outcomes.size();
+        upstream->start(kServer, std::move(request),
+                        [this](Outcome outcome, const Upstream::Response&) { outcomes.push_back(outcome); });
+        until([&] { return outcomes.size() > before; });
+        return outcomes.empty() ? Outcome::recalled : outcomes.back();
+    }
+    Outcome after_connect_fails_with(int error) {
+        faults.fail(SystemCall::connect, error, 1, to(a));
+        return one();
+    }
+};
+
+TEST_F(ConnectingOut, FailureOfThisMachine_isNotIssuedAndNoVerdict) {
+    for (const int error : {EADDRNOTAVAIL, EADDRINUSE, EAGAIN, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM,
+                            ENETDOWN, ENETUNREACH, EACCES, EPERM}) {
+        EXPECT_EQ(after_connect_fails_with(error), Outcome::superseded) << std::strerror(error);
+        EXPECT_EQ(faults.failed(SystemCall::connect), 1);
+        EXPECT_EQ(upstream->stats().open, 0u);
+    }
+    EXPECT_EQ(a.requests.size(), 0u);
+    EXPECT_EQ(one(), Outcome::completed);
+}
+
+TEST_F(ConnectingOut, FailureOfTheServer_provesThatItNeverRan) {
+    for (const int error : {ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH})
+        EXPECT_EQ(after_connect_fails_with(error), Outcome::refused_connection) << std::strerror(error);
+    EXPECT_EQ(one(), Outcome::completed);
+}
+
+TEST_F(ConnectingOut, NoSocket_isNotIssuedAndNoVerdict) {
+    for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
+        faults.fail(SystemCall::socket, error, 1);
+        EXPECT_EQ(one(), Outcome::superseded) << std::strerror(error);
+        EXPECT_EQ(upstream->stats().open, 0u);
+    }
+    EXPECT_EQ(one(), Outcome::completed);
+}
+
+// Of a server's own connections one fails for a moment here: the request has its answer at once elsewhere,
+// and the server keeps its place.
+TEST_F(SystemCalls, OneFailingConnect_costsNoRequestItsAnswer) {
+    for (const int error : {EADDRNOTAVAIL, EAGAIN, EINTR, ENOBUFS, ENETUNREACH}) {
+        start_with_servers_known();
+        TestClient& c = client();
+        const std::size_t before = arrived();
+        faults.fail(SystemCall::connect, error, 1);
+        EXPECT_EQ(ask_on(c, request("deposit", "id-" + std::to_string(error))).result_int(), 200u)
+            << std::strerror(error);
+        EXPECT_EQ(faults.failed(SystemCall::connect), 1) << std::strerror(error);
+        EXPECT_EQ(sidecar->metrics().excluded, 0u) << std::strerror(error);
+        EXPECT_EQ(arrived(), before + 1);
+        sidecar.reset();
+    }
+}
+
+// While no connection comes up a request is refused after its attempts, once, and nobody is out of the pool
+// after that.
+TEST_F(SystemCalls, AllConnectsFailing_refusesAtOnceAndEjectsNobody) {
+    start_with_servers_known();
+    TestClient& c = client();
+    const std::size_t before = arrived();
+    faults.fail(SystemCall::connect, EADDRNOTAVAIL, kForever);
+    EXPECT_EQ(ask_on(c, request("deposit", "id-1")).result_int(), 503u);
+    EXPECT_LE(faults.failed(SystemCall::connect), 4) << "max-attempts";
+    faults.fail(SystemCall::connect, 0, 0);
+    EXPECT_EQ(sidecar->metrics().excluded, 0u);
+    EXPECT_EQ(ask_on(c, request("deposit", "id-2")).result_int(), 200u);
+    EXPECT_EQ(arrived(), before + 1);
+}
+
+// ---- Accepting --------------------------------------------------------------------------------------------
+
+TEST_F(SystemCalls, AcceptFailingForOneConnection_takesTheNextAtOnce) {
+    start();
+    for (const int error : {ECONNABORTED, EPROTO, EINTR, EHOSTUNREACH, ETIMEDOUT, EMFILE}) {
+        faults.fail(SystemCall::accept, error, 1, at_front());
+        EXPECT_EQ(ask(request("listen", "id-" + std::to_string(error))).result_int(), 200u)
+            << std::strerror(error);
+        EXPECT_EQ(faults.failed(SystemCall::accept), 1) << std::strerror(error);
+    }
+}
+
+// However long it fails, it neither keeps the sidecar busy nor ends its listening.
+TEST_F(SystemCalls, AcceptFailingForLong_pauses) {
+    start();
+    for (const int error : {ECONNABORTED, EMFILE}) {
+        faults.fail(SystemCall::accept, error, kForever, at_front());
+        TestClient& waiting = client();
+        waiting.send(request("listen", "id-" + std::to_string(error)));
+        let_pass(std::chrono::milliseconds(200));
+        EXPECT_GE(faults.failed(SystemCall::accept), 2) << std::strerror(error);
+        EXPECT_LE(faults.failed(SystemCall::accept), 400) << std::strerror(error);
+        faults.fail(SystemCall::accept, 0, 0);
+        until([&] { return waiting.answers.size() == 1; });
+    }
+}
+
+// The end of a drain looks for what the machine has accepted, and must not wait for it.
+TEST_F(SystemCalls, AcceptFailingAtTheEndOfADrain_neitherWaitsNorLosesWhatCame) {
+    for (const int error : {ECONNABORTED, EPROTO, EINTR, EMFILE, ENOBUFS}) {
+        start();
+        // Signals come now and then: only the others go on.
+        faults.fail(SystemCall::accept, error, error == EINTR ? 3 : kForever, at_front());
+        TestClient& waiting = client();
+        waiting.send(request("listen", "id-" + std::to_string(error)));
+        bool drained = false;
+        sidecar->drain([&] { drained = true; });
+        let_pass(std::chrono::milliseconds(600));  // past the time for which new connections come
+        EXPECT_EQ(faults.endless_waits(), 0) << std::strerror(error);
+        EXPECT_TRUE(error == EINTR || !drained) << std::strerror(error);
+        faults.fail(SystemCall::accept, 0, 0);
+        until([&] { return drained && waiting.ended; });
+        ASSERT_EQ(waiting.answers.size(), 1u) << std::strerror(error);
+        EXPECT_EQ(waiting.answers[0].result_int(), 200u) << std::strerror(error);
+        sidecar.reset();
+    }
+}
+
+TEST_F(SystemCalls, AcceptFailingForAnOperator_takesTheNextAtOnce) {
+    start_with_operators({{"s-a", a.address()}});
+    const Ports at_operators{sidecar->operator_address()->port(), 0};
+    for (const int error : {ECONNABORTED, EPROTO, EINTR, EMFILE}) {
+        faults.fail(SystemCall::accept, error, 1, at_operators);
+        TestClient& caller = clients.emplace_back(io, *sidecar->operator_address());
+        caller.send("GET /ready HTTP/1.1\r\nHost: ops\r\n\r\n");
+        until([&] { return caller.answers.size() == 1; });
+        EXPECT_EQ(faults.failed(SystemCall::accept), 1) << std::strerror(error);
+    }
+    faults.fail(SystemCall::accept, ECONNABORTED, kForever, at_operators);
+    clients.emplace_back(io, *sidecar->operator_address());
+    let_pass(std::chrono::milliseconds(200));
+    EXPECT_LE(faults.failed(SystemCall::accept), 400);
+}
+
+// ---- A client's end ---------------------------------------------------------------------------------------
+
+// The look at its connection right before the first byte of an attempt is interrupted, and is made again.
+TEST_F(SystemCalls, InterruptedLook_stillSeesThatTheClientHasLeft) {
+    start_with_a();
+    EXPECT_EQ(ask(request("deposit", "id-1")).result_int(), 200u);
+    let_rest(io);
+    TestClient& leaving = client();
+    faults.fail(SystemCall::poll, EINTR, 1, at_front());
+    leaving.send(request("deposit", "id-left"));
+    leaving.close();
+    until([&] { return faults.failed(SystemCall::poll) == 1; });
+    until([&] { return nothing_out(); });
+    EXPECT_EQ(ask(request("deposit", "id-3")).result_int(), 200u);
+    for (const auto& seen : a.requests) EXPECT_NE(seen["Request-Id"], "id-left");
+}
+
+// ---- Reads, writes and waits ------------------------------------------------------------------------------
+
+TEST_F(SystemCalls, OneByteAtATime_servesWhole) {
+    start_with_a();
+    a.script = [](const auto& seen) { return Reply{response("200 OK", seen.body())}; };
+    const std::string body(500, 'x');
+    faults.shorten(SystemCall::receive, 1, at_front());
+    faults.shorten(SystemCall::send, 1, at_front());
+    EXPECT_EQ(ask(request("deposit", "id-1", 5000, body)).body(), body);
+    faults.shorten(SystemCall::receive, 1, to(a));
+    faults.shorten(SystemCall::send, 1, to(a));
+    EXPECT_EQ(ask(request("deposit", "id-2", 5000, body)).body(), body);
+    EXPECT_EQ(a.requests.size(), 2u);
+}
+
+TEST_F(SystemCalls, InterruptedReadOfAClient_losesNoRequest) {
+    start_with_a();
+    for (int times = 1; times <= 8; ++times) {
+        faults.fail(SystemCall::receive, EINTR, times, at_front());
+        EXPECT_EQ(ask(request("deposit", "id-" + std::to_string(times))).result_int(), 200u) << times;
+        EXPECT_EQ(faults.failed(SystemCall::receive), times);
+    }
+    EXPECT_EQ(a.requests.size(), 8u);
+}
+
+// The next request comes early, and the look at it while the first waits for its answer is interrupted.
+TEST_F(SystemCalls, InterruptedLookAtAnEarlyRequest_losesNeither) {
+    start_with_a();
+    a.script = silence;
+    TestClient& c = client();
+    c.send(request("listen", "id-1"));
+    until([&] { return a.requests.size() == 1; });
+    faults.fail(SystemCall::receive, EINTR, 1, at_front());
+    c.send(request("listen", "id-2"));
+    until([&] { return faults.failed(SystemCall::receive) == 1; });
+    a.script = serve;
+    a.send(0, response("200 OK", "served"));
+    until([&] { return c.answers.size() == 2 || c.ended; });
+    EXPECT_EQ(c.answers.size(), 2u);
+}
+
+TEST_F(SystemCalls, InterruptedReadOfAnAnswer_isReadAgain) {
+    start_with_a();
+    for (int times = 1; times <= 4; ++times) {
+        faults.fail(SystemCall::receive, EINTR, times, to(a));
+        EXPECT_EQ(ask(request("deposit", "id-" + std::to_string(times))).result_int(), 200u) << times;
+        EXPECT_GE(faults.failed(SystemCall::receive), 1);
+    }
+    EXPECT_EQ(a.requests.size(), 4u);
+}
+
+TEST_F(SystemCalls, InterruptedWrites_goOn) {
+    start_with_a();
+    faults.fail(SystemCall::send, EINTR, 5, to(a));
+    EXPECT_EQ(ask(request("deposit", "id-1")).result_int(), 200u);
+    EXPECT_EQ(faults.failed(SystemCall::send), 5);
+    faults.fail(SystemCall::send, EINTR, 5, at_front());
+    EXPECT_EQ(ask(request("deposit", "id-2")).result_int(), 200u);
+    EXPECT_EQ(faults.failed(SystemCall::send), 5);
+    EXPECT_EQ(a.requests.size(), 2u);
+}
+
+// What is broken before the last byte of a request never ran; after that it may have, and is not sent again.
+TEST_F(ConnectingOut, BrokenWriting_neverRan) {
+    for (const int error : {EPIPE, ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
+        faults.fail(SystemCall::send, error, 1, to(a));
+        EXPECT_EQ(one(), Outcome::refused_connection) << std::strerror(error);
+    }
+    EXPECT_EQ(a.requests.size(), 0u);
+}
+TEST_F(ConnectingOut, BrokenReading_mayHaveRun) {
+    for (const int error : {ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
+        faults.fail(SystemCall::receive, error, 1, to(a));
+        EXPECT_EQ(one(), Outcome::severed) << std::strerror(error);
+    }
+    EXPECT_EQ(a.requests.size(), 3u);
+}
+TEST_F(SystemCalls, BrokenReading_failsOnceAndIsNotSentAgain) {
+    for (const int error : {ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
+        start_with_a();
+        const std::size_t before = arrived();
+        faults.fail(SystemCall::receive, error, 1, to(a));
+        const auto answer = ask(request("deposit", "id-" + std::to_string(error)));
+        EXPECT_EQ(faults.failed(SystemCall::receive), 1);
+        EXPECT_EQ(arrived(), before + 1);
+        EXPECT_EQ(answer.result_int(), 502u) << std::strerror(error);
+        sidecar.reset();
+    }
+}
+
+TEST_F(SystemCalls, InterruptedWaits_goOn) {
+    start();
+    faults.fail(SystemCall::epoll_wait, EINTR, 200);
+    for (int i = 0; i < 10; ++i)
+        EXPECT_EQ(ask(request("deposit", "id-" + std::to_string(i))).result_int(), 200u);
+    until([&] { return faults.failed(SystemCall::epoll_wait) == 200; });
+    // Timers too: the watch that nobody answers is begun anew when it is late.
+    faults.fail(SystemCall::epoll_wait, EINTR, 200);
+    until([&] { return agent.requests.size() == 2; });
+}
+
+// ---- Discovery --------------------------------------------------------------------------------------------
+
+constexpr Millis kBound = 6000;  // what a failed call missed counts as told so long after it began
+constexpr Millis kAgain = 100;   // between two calls
+
+struct Watching : SystemCalls {
+    std::vector<Discovery::Failure> failures;
+    std::vector<Millis> told_after;  // by each failure's word, from the first call on
+    std::optional<Discovery> discovery;
+    std::chrono::steady_clock::time_point called;
+
+    void watch(bool persistent = false) {
+        discovery.emplace(io, agent.endpoint(), 41, persistent, 400,
+                          Discovery::Callbacks{[](const MemberList&) {},
+                                               [this](const Discovery::Failure& failure) {
+                                                   failures.push_back(failure);
+                                                   told_after.push_back(since_called() + failure.told_within);
+                                               }});
+        called = std::chrono::steady_clock::now();
+        discovery->watch(true);
+    }
+    Discovery::Failure next_failure() {
+        const std::size_t before = failures.size();
+        until([&] { return failures.size() > before; });
+        return failures.empty() ? Discovery::Failure{} : failures.back();
+    }
+    void expect_bound_from_the_first_call(int error) {
+        for (int calls = 0; calls < 2; ++calls) {
+            EXPECT_EQ(next_failure().kind, ListFailure::broken) << std::strerror(error);
+            EXPECT_LE(told_after.back(), kBound + kAgain / 2) << std::strerror(error);
+            let_pass(span(kAgain));
+            discovery->watch(true);
+        }
+        discovery.reset();
+    }
+    Millis since_called() const { return millis(std::chrono::steady_clock::now() - called); }
+};
+
+// Discovery may well be reachable: the bound runs from the first of the calls, however many fail.
+TEST_F(Watching, FailureOfThisMachine_boundRunsFromTheFirstCall) {
+    for (const int error :
+         {EADDRNOTAVAIL, EADDRINUSE, EAGAIN, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, ENETDOWN, ENETUNREACH}) {
+        faults.fail(SystemCall::connect, error, kForever, to(agent));
+        watch();
+        expect_bound_from_the_first_call(error);
+    }
+}
+
+TEST_F(Watching, NoSocket_boundRunsFromTheFirstCall) {
+    for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
+        faults.fail(SystemCall::socket, error, kForever);
+        watch();
+        expect_bound_from_the_first_call(error);
+    }
+}
+
+// Nobody is there: what is missed counts as told so long after discovery is back.
+TEST_F(Watching, FailureOfDiscovery_boundRunsAnew) {
+    for (const int error : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH}) {
+        faults.fail(SystemCall::connect, error, kForever, to(agent));
+        watch();
+        next_failure();
+        let_pass(span(kAgain));
+        discovery->watch(true);
+        EXPECT_EQ(next_failure().kind, ListFailure::unreachable) << std::strerror(error);
+        EXPECT_GE(told_after.back(), kBound + kAgain / 2) << std::strerror(error);
+        discovery.reset();
+    }
+}
+
+// Where lists are pushed it tries again by itself, in steps, and watches once it can.
+TEST_F(Watching, PersistentWatch_isBegunAnewWithPauses) {
+    for (const int error : {EADDRNOTAVAIL, EMFILE, ENETUNREACH}) {
+        const std::size_t before = agent.requests.size();
+        faults.fail(SystemCall::connect, error, kForever, to(agent));
+        watch(true);
+        let_pass(std::chrono::milliseconds(200));
+        EXPECT_GE(faults.failed(SystemCall::connect), 2) << std::strerror(error);
+        EXPECT_LE(faults.failed(SystemCall::connect), 8) << std::strerror(error);
+        faults.fail(SystemCall::connect, 0, 0);
+        until([&] { return agent.requests.size() > before; });
+        discovery.reset();
+    }
+}
+
+// ---- Datagrams --------------------------------------------------------------------------------------------
+
+TEST_F(SystemCalls, ReceivingFromPeersFailingForLong_pauses) {
+    const Udp::endpoint anywhere(asio::ip::address_v4::loopback(), 0);
+    Udp::socket peer(io, anywhere);
+    std::size_t received = 0;
+    Peers peers(io, anywhere, {peer.local_endpoint()}, std::nullopt,
+                [&](std::uint32_t, const std::vector<std::uint8_t>&) { ++received; });
+    const Ports at_peers{peers.address().port(), 0};
+    const std::array<std::uint8_t, 3> bytes{1, 2, 3};
+    for (const int error : {ECONNREFUSED, ENOBUFS, ENOMEM}) {
+        faults.fail(SystemCall::receive, error, kForever, at_peers);
+        const std::size_t before = received;
+        peer.send_to(asio::buffer(bytes), peers.address());
+        let_pass(std::chrono::milliseconds(200));
+        EXPECT_GE(faults.failed(SystemCall::receive), 2) << std::strerror(error);
+        EXPECT_LE(faults.failed(SystemCall::receive), 400) << std::strerror(error);
+        faults.fail(SystemCall::receive, 0, 0);
+        until([&] { return received == before + 1; });
+    }
+    // Once, and the datagram behind it is read at once.
+    for (int i = 0; i < 3; ++i) {
+        faults.fail(SystemCall::receive, ECONNREFUSED, 1, at_peers);
+        const std::size_t before = received;
+        peer.send_to(asio::buffer(bytes), peers.address());
+        until([&] { return received == before + 1; });
+    }
+}
+
+struct Members : SystemCalls {
+    static cluster::Settings settings(std::vector<Tcp::endpoint> seeds) {
+        cluster::Settings made;
+        made.bind = Udp::endpoint(asio::ip::address_v4::loopback(), 0);
+        made.seeds = std::move(seeds);
+        made.key = std::string(32, 'k');
+        made.parameters.period = 100;
+        return made;
+    }
+    static Tcp::endpoint tcp_of(const cluster::Agent& agent) {
+        return {agent.address().address(), agent.address().port()};
+    }
+};
+
+TEST_F(Members, AcceptFailingForOneConnection_takesTheNextAtOnce) {
+    cluster::Agent agent_of_first(io, settings({}), "n1", "1", {});
+    const Ports at_first{agent_of_first.address().port(), 0};
+    const auto rejected = [&] {
+        return agent_of_first.figures().rejected[static_cast<std::size_t>(cluster::Rejection::oversized)];
+    };
+    for (const int error : {ECONNABORTED, EPROTO, EINTR, EMFILE}) {
+        const auto before = rejected();
+        faults.fail(SystemCall::accept, error, 1, at_first);
+        Tcp::socket caller(io);
+        caller.connect(tcp_of(agent_of_first));
+        asio::write(caller, asio::buffer("\xff\xff\xff\xff", 4));  // the length of what follows
+        until([&] { return rejected() == before + 1; });
+        EXPECT_EQ(faults.failed(SystemCall::accept), 1) << std::strerror(error);
+    }
+}
+
+TEST_F(Members, ReceivingFailingForLong_pauses) {
+    cluster::Agent first(io, settings({}), "n1", "1", {});
+    const Ports at_first{first.address().port(), 0};
+    faults.fail(SystemCall::receive, ENOMEM, kForever, at_first);
+    cluster::Agent second(io, settings({tcp_of(first)}), "n2", "1", {});
+    Udp::socket stranger(io, Udp::endpoint(asio::ip::address_v4::loopback(), 0));
+    stranger.send_to(asio::buffer("x", 1), first.address());
+    let_pass(std::chrono::milliseconds(200));
+    EXPECT_GE(faults.failed(SystemCall::receive), 1);
+    EXPECT_LE(faults.failed(SystemCall::receive), 4000);
+    faults.fail(SystemCall::receive, 0, 0);
+    until([&] { return first.figures().view.present() == 2 && second.figures().view.present() == 2; });
+}
+
+// ---- The start --------------------------------------------------------------------------------------------
+
+/// The program, with at most so many descriptors at first, and what it logs.
+class StartedProgram {
+public:
+    explicit StartedProgram(rlim_t descriptors) {
+        std::ofstream(config_) << config_json("127.0.0.1:9",
+                                              list_json(41, true, {{"s-a", "127.0.0.1:9", "Ready"}}));
+        int ends[2];
+        if (::pipe(ends) != 0) throw std::runtime_error("no pipe");
+        child_ = ::fork();
+        if (child_ == 0) run(ends[1], descriptors);
+        ::close(ends[1]);
+        log_ = ends[0];
+    }
+    ~StartedProgram() {
+        ::kill(child_, SIGKILL);
+        ::waitpid(child_, nullptr, 0);
+        ::close(log_);
+        std::filesystem::remove(config_);
+    }
+    StartedProgram(const StartedProgram&) = delete;
+    StartedProgram& operator=(const StartedProgram&) = delete;
+
+    void allow(rlim_t descriptors) const {  // in the child itself: 0, its own
+        rlimit limit{};
+        ::prlimit(child_, RLIMIT_NOFILE, nullptr, &limit);
+        limit.rlim_cur = descriptors;
+        ::prlimit(child_, RLIMIT_NOFILE, &limit, nullptr);
+    }
+    /// Whether it logs that before it ends, within 10 s.
+    bool logs(const std::string& text) {
+        const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
+        while (logged_.find(text) == std::string::npos) {
+            pollfd entry{log_, POLLIN, 0};
+            char piece[1024];
+            if (std::chrono::steady_clock::now() > limit || ::poll(&entry, 1, 1000) < 0) return false;
+            const ssize_t size = entry.revents != 0 ? ::read(log_, piece, sizeof piece) : -1;
+            if (size == 0) return false;
+            if (size > 0) logged_.append(piece, static_cast<std::size_t>(size));
+        }
+        return true;
+    }
+    const std::string& logged() const { return logged_; }
+
+private:
+    [[noreturn]] void run(int log, rlim_t descriptors) const {
+        ::dup2(log, STDERR_FILENO);
+        for (int file = 3; file < 1024; ++file) ::close(file);
+        ::setenv("LB_CONFIG", config_.c_str(), 1);
+        allow(descriptors);
+        ::execl(MOTHRING_BIN, MOTHRING_BIN, static_cast<char*>(nullptr));
+        ::_exit(127);
+    }
+
+    std::filesystem::path config_ =
+        std::filesystem::temp_directory_path() / ("mothring-start-" + std::to_string(::getpid()));
+    pid_t child_ = 0;
+    int log_ = -1;
+    std::string logged_;
+};
+
+// Enough for reading the configuration, but not for all that it opens after that.
+TEST(Starting, NoDescriptorForAWhile_startsOnceThereIsOne) {
+    for (const rlim_t descriptors : {4, 7, 8}) {
+        StartedProgram program(descriptors);
+        EXPECT_TRUE(program.logs("start.put_off")) << program.logged();
+        program.allow(256);
+        EXPECT_TRUE(program.logs("sidecar.listening")) << program.logged();
+    }
+}
+
+}  // namespace
+}  // namespace mothring::node::test
