--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -150,10 +150,11 @@
     }
 
     void last_call() {
+        if (called_) return;
         if (phase_ == Phase::idle || phase_ == Phase::head || receiving()) feed();
-        if (!owner_ || phase_ == Phase::answering || phase_ == Phase::finishing) return;
-        if (phase_ == Phase::idle) return finish(kLinger);
-        if (id_ == 0 || receiving()) reject(http::status::service_unavailable);
+        if (!owner_ || phase_ == Phase::finishing) return;
+        called_ = true;
+        if (phase_ != Phase::answering) turn_away();
     }
 
     void answer(Answer answer) {
@@ -215,7 +216,9 @@
 private:
     enum class Phase { idle, head, body, waiting, answering, finishing };
 
-    bool stays() const { return keep_ && !receiving() && !owner_->draining_; }
+    // A drain ends it with the answer to the last request that was read. After the last call nothing more is.
+    bool stays() { return keep_ && !receiving() && (!owner_->draining_ || more_came()); }
+    bool more_came() { return buffer_.size() > 0 || (!called_ && !quiet()); }
     // Whether a request's body is yet to come.
     bool receiving() const { return body_ && !body_->whole(); }
 
@@ -246,6 +249,12 @@
             close();
     }
 
+    // Of the last call: what is not here whole.
+    void turn_away() {
+        if (phase_ == Phase::idle) return finish(kLinger);
+        if (id_ == 0 || receiving()) reject(http::status::service_unavailable);
+    }
+
     // Reads and parses as long as there is something to read and room for it.
     void feed() {
         for (int turns = 0;; ++turns) {
@@ -264,6 +273,7 @@
 
     // Whether anything was read.
     bool receive() {
+        if (called_) return turn_away(), false;
         error_code error;
         const std::size_t space = buffer_.max_size() - buffer_.size();
         const std::size_t size = std::min(space, receiving() ? kPiece : kHeadPiece);
@@ -477,7 +487,8 @@
         leave(*owner_, whole);
         no_limit();
         if (!whole) return close();
-        if (!stays || unread) return finish(kLongestLinger);
+        const bool last = called_ && buffer_.size() == 0;
+        if (!stays || unread || last) return finish(kLongestLinger);
         phase_ = Phase::idle;
         since_ = Steady::now();
         next_unread();
@@ -575,7 +586,7 @@
     std::optional<Steady::time_point> first_by_;      // none: it has sent a request
     std::optional<Steady::time_point> unread_since_;  // none: what comes is read as it comes
     bool keep_ = true, stays_ = true, waiting_ = false, writing_ = false, ending_ = false,
-         until_close_ = false;
+         until_close_ = false, called_ = false;
 };
 
 Front::Front(asio::io_context& io, const Tcp::endpoint& listen, std::size_t clients, bool shared,
