--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -569,7 +569,16 @@
         });
     }
     // Whoever has sent no whole request is ended in order, whoever does not read is not waited for.
-    void overdue() { id_ == 0 && phase_ < Phase::waiting ? finish(kLinger) : close(); }
+    // What came up to now is read first.
+    void overdue() {
+        if (still_comes()) {
+            feed();
+            if (!owner_ || !still_comes() || due_ == Steady::time_point{} || due_ > Steady::now()) return;
+        }
+        id_ == 0 && phase_ < Phase::waiting ? finish(kLinger) : close();
+    }
+    // Whether a request is yet to come, or its rest.
+    bool still_comes() const { return phase_ < Phase::waiting || (phase_ == Phase::waiting && receiving()); }
 
     Front* owner_;  // none: closed
     Tcp::socket socket_;
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -113,5 +113,26 @@
     EXPECT_EQ(a.requests.size(), served);
 }
 
+// The rest of a first request comes in the very turn in which its time is over.
+TEST_F(Drain, ARequestWholeAsItsTimeRunsOutIsAnswered) {
+    start_with_a();
+    const std::string whole = request("listen", "id-1");
+    TestClient& c = client();
+    asio::steady_timer rest(io, std::chrono::milliseconds(2200));
+    pass();
+    bool sent = false;
+    rest.async_wait([&](error_code) {
+        c.send(whole.substr(40));
+        sent = true;
+    });
+    c.send(whole.substr(0, 40));
+    const auto both_due = Steady::now() + std::chrono::milliseconds(2500);
+    until([&] { return Steady::now() > both_due - std::chrono::milliseconds(400); });
+    hold_up_until(both_due);
+    until([&] { return sent && (c.ended || c.answers.size() == 1); });
+    ASSERT_EQ(c.answers.size(), 1u);
+    EXPECT_EQ(c.answers[0].result_int(), 200u);
+}
+
 }  // namespace
 }  // namespace mothring::node::test
