--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -40,7 +40,9 @@
 // "Figures"): what still comes has its answer kReserve sooner, and kLinger before that connections without a
 // request are ended. While one is not answered, as it came before with a longer time, it goes on and looks
 // again.
-constexpr Millis kKillAfter = 700, kReserve = 100, kLinger = 300, kLook = 50, kLongestDrain = 60000;
+constexpr Millis kHoldUp = 150;  // for so long the process may stand still, right as answers are due
+constexpr Millis kReserve = kHoldUp + 20;  // and the time to write them
+constexpr Millis kKillAfter = 700, kLinger = 300, kLook = 50, kLongestDrain = 60000;
 
 // Whether the method and the key are those that the protocol gives to a class.
 bool in_form(const RequestClass& kind, const Front::Message& message, bool has_body) {
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -1,5 +1,6 @@
 // A drain: every request that was read has its answer, within the time that a planned restart leaves.
 #include "held_server.hpp"
+#include "program_rig.hpp"
 
 namespace mothring::node::test {
 namespace {
@@ -113,6 +114,47 @@
     EXPECT_EQ(a.requests.size(), served);
 }
 
+// The process is held up for as long as it may be, at any time near the end. A request may state a longer
+// time than the deployment's longest deadline.
+TEST_F(Drain, AHoldUpNearItsEndLeavesNothingUnanswered) {
+    a.script = silence;
+    for (const int held_from : {700, 750, 790}) {
+        sidecar.reset();
+        a.requests.clear();
+        start_short({{"s-a", a.address()}});
+        done = false;
+        const auto began = Steady::now();
+        drain();
+        TestClient& c = client();
+        c.send(request("listen", "id-1", 5000));
+        const auto hold_up = began + std::chrono::milliseconds(held_from);
+        until([&] { return c.ended || Steady::now() >= hold_up; });
+        if (!c.ended) hold_up_until(hold_up + std::chrono::milliseconds(150));
+        until([&] { return c.ended; });
+        EXPECT_EQ(c.answers.size(), 1u);
+        EXPECT_LE(since(began), kKill) << held_from;
+        until([&] { return done; });
+    }
+}
+
+// Connections to servers that come up only after the end.
+TEST_F(Drain, WhatWaitsForAConnectionIsAnsweredInTime) {
+    HeldServer held(io);
+    start_short({{"s-held", held.address()}});
+    const auto began = Steady::now();
+    drain();
+    TestClient &c = client(), &upload = client();
+    c.send(request("listen", "id-1", 5000));
+    upload.send(request("deposit", "id-2", 5000, std::string(Pipe::kMost + 2000, 'x')));
+    until([&] { return c.ended && upload.ended; });
+    EXPECT_LE(since(began), kKill);
+    EXPECT_EQ(c.answers.size(), 1u);
+    EXPECT_EQ(upload.answers.size(), 1u);
+    held.let_go();
+    until([&] { return done; });
+    EXPECT_EQ(held.in, "");
+}
+
 // The rest of a first request comes in the very turn in which its time is over.
 TEST_F(Drain, ARequestWholeAsItsTimeRunsOutIsAnswered) {
     start_with_a();
@@ -134,5 +176,91 @@
     EXPECT_EQ(c.answers[0].result_int(), 200u);
 }
 
+// ---- The program itself, ended as a planned restart does ----
+
+struct Restart : Program {
+    asio::io_context io;
+    // Hangs on whatever may not be repeated.
+    ScriptedServer server{io, [](const auto& r) {
+                              return r.method() == http::verb::get ? Reply{response("200 OK", "served")}
+                                                                   : Reply{};
+                          }};
+    ScriptedServer agent{io, [](const auto&) { return Reply{}; }};
+    Tcp::endpoint listen = Tcp::acceptor(io, any_port).local_endpoint();
+    pid_t child = 0;
+
+    ~Restart() override {
+        if (child > 0) ::kill(child, SIGKILL), ::waitpid(child, nullptr, 0);
+    }
+    void begin() {
+        child = start(
+            short_deadlines(config_json(agent.address(), list_json(1, true, {{"s-a", server.address()}}),
+                                        "1024", "127.0.0.1:" + std::to_string(listen.port()))));
+        run_until(io, [&] {
+            try {
+                TestClient first(io, listen);
+                return true;
+            } catch (const boost::system::system_error&) {
+                return false;  // not up yet
+            }
+        });
+    }
+
+    // Clients with one request out each, on connections that they keep; new ones as long as they may come.
+    struct Asking {
+        std::unique_ptr<TestClient> client;
+        std::string id;
+    };
+    std::vector<Asking> asking;
+    std::size_t sent = 0, answered = 0;
+    std::vector<std::string> unanswered;
+    void send(Asking& one) {
+        one.id = "id-" + std::to_string(sent++);
+        one.client->answers.clear();
+        one.client->send(request(sent % 2 == 0 ? "deposit" : "listen", one.id, kLongest, ""));
+    }
+    void open() {
+        asking.push_back({std::make_unique<TestClient>(io, listen), ""});
+        send(asking.back());
+    }
+    void turn(bool may_open) {
+        for (auto one = asking.begin(); one != asking.end();) {
+            TestClient& c = *one->client;
+            if (c.answers.empty() && !c.ended) {
+                ++one;
+                continue;
+            }
+            if (c.answers.empty()) unanswered.push_back(one->id);
+            answered += !c.answers.empty();
+            if (!c.ended && c.answers.front().keep_alive()) {
+                send(*one++);
+            } else {
+                one = asking.erase(one);
+            }
+        }
+        while (may_open && asking.size() < 8) open();
+    }
+    bool was_read(const std::string& id) const {
+        return std::any_of(server.requests.begin(), server.requests.end(),
+                           [&](const auto& r) { return r["Request-Id"] == id; });
+    }
+};
+
+// What was sent until SIGKILL has its answer, or its connection was closed with it unread.
+TEST_F(Restart, WithShortDeadlinesNothingThatWasReadGoesUnanswered) {
+    begin();
+    run_until(io, [&] { return turn(true), answered >= 100; });
+    const auto began = Steady::now();
+    ::kill(child, SIGTERM);
+    const auto kill_at = began + std::chrono::milliseconds(static_cast<int>(kKill));
+    const auto opens_until = began + std::chrono::milliseconds(400);
+    run_until(io, [&] { return turn(Steady::now() < opens_until), Steady::now() >= kill_at; });
+    ::kill(child, SIGKILL);
+    ::waitpid(std::exchange(child, 0), nullptr, 0);
+    EXPECT_EQ(asking.size(), 0u) << "of " << sent;
+    EXPECT_EQ(answered + unanswered.size(), sent);
+    for (const std::string& id : unanswered) EXPECT_FALSE(was_read(id)) << id;
+}
+
 }  // namespace
 }  // namespace mothring::node::test
