--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -183,6 +183,7 @@
         stays_ = head.keep_alive();
         // What the kernel holds of it is bounded too, so that a slow reader's progress shows.
         error_code ignored;
+        if (until_close_) reset_at_end(true);
         socket_.set_option(asio::socket_base::send_buffer_size(static_cast<int>(Pipe::kMost)), ignored);
         const auto out = std::make_shared<http::response<http::empty_body>>(std::move(head));
         const auto serializer = std::make_shared<http::response_serializer<http::empty_body>>(*out);
@@ -522,6 +523,7 @@
                 [self = shared_from_this()](error_code failed, std::size_t) { self->wrote(failed, 0); });
         } else if (pipe_->whole()) {
             ending_ = false;
+            if (until_close_) reset_at_end(false);
             answered(true, stays_);
         } else {
             no_limit();  // the server's turn
@@ -539,10 +541,11 @@
     // A reader may be slow, but not still.
     void progress() { close_at(Steady::now() + span(kStillReader)); }
     // The client must see that it is not whole: short of its length, or without its last chunk, or reset.
-    void abort() {
+    void abort() { close(); }
+    // Where its end is the answer's, that of the process in its midst must not be taken for it either.
+    void reset_at_end(bool reset) {
         error_code ignored;
-        if (until_close_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
-        close();
+        socket_.set_option(asio::socket_base::linger(reset, 0), ignored);
     }
 
     void discard() {
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -262,5 +262,30 @@
     for (const std::string& id : unanswered) EXPECT_FALSE(was_read(id)) << id;
 }
 
+// An answer whose length its head can't tell, half passed on: the end of the process is not its end.
+TEST_F(Restart, AnAnswerWithoutALengthThatIsCutOffIsSeenToBeBroken) {
+    server.script = [](const auto&) {
+        return Reply{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"};
+    };
+    begin();
+    Tcp::socket old(io);
+    old.connect(listen);
+    asio::write(old, asio::buffer(replaced(request("listen", "id-1"), "HTTP/1.1", "HTTP/1.0")));
+    run_until(io, [&] { return old.available() > 0; });
+    std::string in;
+    error_code error;
+    old.non_blocking(true);
+    const auto read = [&] {
+        std::array<char, 4096> piece{};
+        const std::size_t count = old.read_some(asio::buffer(piece), error);
+        in.append(piece.data(), count);
+    };
+    run_until(io, [&] { return read(), in.find("half") != std::string::npos; });
+    ::kill(child, SIGKILL);
+    ::waitpid(std::exchange(child, 0), nullptr, 0);
+    run_until(io, [&] { return read(), error && error != asio::error::would_block; });
+    EXPECT_EQ(error, asio::error::connection_reset);
+}
+
 }  // namespace
 }  // namespace mothring::node::test
