--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -198,7 +198,8 @@
         const auto request = exchange_->request;
         Pipe& body = *request->body;
         const auto bytes = body.unread();
-        last_ = body.whole();
+        // With a stated length its last byte goes out before its end is told.
+        last_ = body.whole() || body.length == body.total();
         if (bytes.empty() && !last_) return;
         writing_ = true;
         const asio::const_buffer out(bytes.data(), bytes.size());
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -149,6 +149,23 @@
     EXPECT_TRUE(ends.empty());
 }
 
+// The last byte of a body of a stated length goes out before its end is told.
+TEST_F(UpstreamTest, WhatIsStoppedRightWithItsLastByteMayHaveRun) {
+    ScriptedServer server(io, [](const auto&) { return Reply{}; });
+    upstream->set_server(kServer, server.endpoint(), 0);
+    const auto body = come("a b", 6);
+    const ExchangeId exchange = start(body);
+    until([&] {
+        return server.connections.size() == 1 && server.connections[0]->parser->is_header_done() &&
+               body->unread().empty();
+    });
+    ASSERT_GE(body->room(), 3u);
+    std::string("ody").copy(body->space(), 3);
+    body->added(3);
+    EXPECT_TRUE(upstream->stop(exchange));
+    until([&] { return server.requests.size() == 1; });
+}
+
 TEST_F(UpstreamTest, TheMostRecentlyUsedIdleConnectionIsUsedAgain) {
     ScriptedServer server(io, [](const auto&) { return Reply{}; });
     upstream->set_server(kServer, server.endpoint(), 0);
