--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -7,6 +7,7 @@
 #include <csignal>
 #include <filesystem>
 #include <fstream>
+#include <system_error>
 
 #include "net_rig.hpp"
 #include "node/options.hpp"
@@ -62,6 +63,18 @@
     Program() { std::filesystem::create_directories(folder); }
     ~Program() override { std::filesystem::remove_all(folder); }
 
+    // A port for the program to listen on, kept until the test's end from all others who ask the system for
+    // one: it is bound here as well, and listened on only by the program.
+    Tcp::endpoint free_address() {
+        Tcp::acceptor& port = ports.emplace_back(ports_io, any_port.protocol());
+        port.set_option(asio::socket_base::reuse_address(true));
+        port.set_option(asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
+        port.bind(any_port);
+        return port.local_endpoint();
+    }
+    asio::io_context ports_io;
+    std::list<Tcp::acceptor> ports;
+
     // Starts the program with its log in a file.
     pid_t start(const std::string& config, const std::string& log = "log") {
         return start_with(config,
@@ -71,6 +84,7 @@
     pid_t start_with(const std::string& config, const std::function<bool()>& set_up) {
         std::ofstream(folder / "config.json") << config;
         const pid_t child = ::fork();
+        if (child < 0) throw std::system_error(errno, std::generic_category(), "fork");
         if (child != 0) return child;
         ::setenv("LB_CONFIG", (folder / "config.json").c_str(), 1);
         ::setenv("TMPDIR", temporary.c_str(), 1);
@@ -167,7 +181,6 @@
         for (const pid_t child : children)
             if (child > 0) ::kill(child, SIGKILL), ::waitpid(child, nullptr, 0);
     }
-    Tcp::endpoint free_address() { return Tcp::acceptor(io, any_port).local_endpoint(); }
     struct Process {
         std::size_t index;
         Tcp::endpoint operators;
@@ -205,6 +218,7 @@
         return child == 0;
     }
     void end(const Process& process, int signal) {
+        ASSERT_GT(children[process.index], 0) << "it has ended";  // else the signal would go to others
         ::kill(children[process.index], signal);
         run_until(io, [&] { return (signal == SIGKILL || (turn(), true)) && ended(process); });
     }
@@ -361,11 +375,7 @@
 TEST_F(Program, FinishesItsWorkOnSigtermAndExitsWithZero) {
     asio::io_context io;
     ScriptedServer server(io, [](const auto&) { return Reply{}; });
-    Tcp::endpoint listen;
-    {
-        Tcp::acceptor free_port(io, any_port);
-        listen = free_port.local_endpoint();
-    }
+    const Tcp::endpoint listen = free_address();
     const pid_t child = start(config_json(server.address(), list_json(1, true, {{"s-a", server.address()}}),
                                           "1024", "127.0.0.1:" + std::to_string(listen.port())));
     std::optional<TestClient> client;
@@ -406,7 +416,7 @@
 TEST_F(Program, ASignalRightAfterItListensIsNotItsEnd) {
     asio::io_context io;
     ScriptedServer agent(io, [](const auto&) { return Reply{}; });
-    const Tcp::endpoint listen = Tcp::acceptor(io, any_port).local_endpoint();
+    const Tcp::endpoint listen = free_address();
     std::ofstream(folder / "config.json") << config_json(agent.address(), list_json(1, true, {}), "1024",
                                                          "127.0.0.1:" + std::to_string(listen.port()));
     std::array<int, 2> lines{};
