--- a/src/node/log.cpp
+++ b/src/node/log.cpp
@@ -1,27 +1,115 @@
 #include "node/log.hpp"
 
+#include <fcntl.h>
+#include <poll.h>
 #include <spdlog/logger.h>
 #include <spdlog/pattern_formatter.h>
-#include <spdlog/sinks/stdout_sinks.h>
+#include <spdlog/sinks/base_sink.h>
+#include <sys/socket.h>
+#include <sys/stat.h>
+#include <unistd.h>
 
+#include <algorithm>
+#include <cerrno>
+#include <climits>
 #include <memory>
+#include <mutex>
 #include <optional>
 
 namespace mothring::node {
 
 namespace {
 
+// Standard error, without ever waiting for whoever reads it. The descriptor's own flags stay as they are:
+// other processes may share them.
+class ErrorOutput {
+public:
+    ErrorOutput() {
+        struct stat status {};
+        if (::fstat(STDERR_FILENO, &status) != 0) return;
+        if (S_ISSOCK(status.st_mode)) way_ = Way::socket;
+        if (!S_ISFIFO(status.st_mode) && !S_ISCHR(status.st_mode)) return;
+        own_ = ::open("/proc/self/fd/2", O_WRONLY | O_NONBLOCK | O_NOCTTY | O_CLOEXEC);
+        way_ = own_ >= 0 ? Way::own : Way::polled;
+    }
+    ~ErrorOutput() {
+        if (own_ >= 0) ::close(own_);
+    }
+    ErrorOutput(const ErrorOutput&) = delete;
+    ErrorOutput& operator=(const ErrorOutput&) = delete;
+
+    // How much of it was written: less than all where there is no room for it now, or a fault.
+    std::size_t write(std::string_view bytes) {
+        std::size_t written = 0;
+        while (written < bytes.size()) {
+            const ssize_t count = write_some(bytes.substr(written));
+            if (count <= 0) break;
+            written += static_cast<std::size_t>(count);
+        }
+        return written;
+    }
+
+private:
+    enum class Way {
+        file,    // nobody reads while it is written
+        own,     // by an open file description of our own, which does not block
+        socket,  // by calls that do not block
+        polled,  // a pipe or terminal that can't be opened again
+    };
+
+    ssize_t write_some(std::string_view bytes) const {
+        if (way_ == Way::own) return ::write(own_, bytes.data(), bytes.size());
+        if (way_ == Way::socket)
+            return ::send(STDERR_FILENO, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+        if (way_ == Way::file) return ::write(STDERR_FILENO, bytes.data(), bytes.size());
+        pollfd entry{STDERR_FILENO, POLLOUT, 0};
+        if (::poll(&entry, 1, 0) != 1 || (entry.revents & POLLOUT) == 0) return -1;
+        return ::write(STDERR_FILENO, bytes.data(), std::min<std::size_t>(bytes.size(), PIPE_BUF));
+    }
+
+    Way way_ = Way::file;
+    int own_ = -1;
+};
+
+// Lines are written whole and in order, or dropped and counted. One that was cut off, by a pipe or disk that
+// got full under it, is finished before the next.
+class Sink final : public spdlog::sinks::base_sink<std::mutex> {
+public:
+    std::uint64_t dropped() const { return dropped_; }
+    void set_dropped(std::uint64_t lines) { dropped_ = lines; }
+
+private:
+    void sink_it_(const spdlog::details::log_msg& message) override {
+        rest_.erase(0, output_.write(rest_));
+        if (!rest_.empty()) {
+            ++dropped_;
+            return;
+        }
+        spdlog::memory_buf_t line;
+        formatter_->format(message, line);
+        const std::string_view bytes(line.data(), line.size());
+        const std::size_t written = output_.write(bytes);
+        if (written == 0)
+            ++dropped_;
+        else
+            rest_ = bytes.substr(written);
+    }
+    void flush_() override {}
+
+    ErrorOutput output_;
+    std::string rest_;
+    std::uint64_t dropped_ = 0;
+};
+
 struct Log {
-    std::shared_ptr<spdlog::logger> logger;
+    std::shared_ptr<Sink> sink = std::make_shared<Sink>();
+    std::shared_ptr<spdlog::logger> logger = std::make_shared<spdlog::logger>("mothring", sink);
     std::string sidecar;
-    Log()
-        : logger(std::make_shared<spdlog::logger>("mothring",
-                                                  std::make_shared<spdlog::sinks::stderr_sink_mt>())) {
+    Log() {
         // The time and level by spdlog; the rest of the object is the message, written by nlohmann.
         logger->set_formatter(std::make_unique<spdlog::pattern_formatter>(
             R"({"ts":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})", spdlog::pattern_time_type::utc));
         logger->set_level(spdlog::level::info);
-        logger->flush_on(spdlog::level::trace);  // a line is written whole before the process may die
     }
 };
 
@@ -30,6 +118,27 @@
     return log;
 }
 
+void write(Log& log, LogLevel level, std::string_view event, LogFields fields) {
+    LogFields line = LogFields::object();
+    line["event"] = event;
+    line["sidecar"] = log.sidecar;
+    if (fields.is_object())
+        for (auto& [key, value] : fields.items()) line[key] = std::move(value);
+    else if (!fields.is_null())
+        line["value"] = std::move(fields);
+    const std::string text = line.dump(-1, ' ', false, LogFields::error_handler_t::replace);
+    log.logger->log(level, std::string_view(text).substr(1, text.size() - 2));
+}
+
+// As soon as there is room for a line again.
+void tell_dropped(Log& log, LogLevel level) {
+    const std::uint64_t dropped = log.sink->dropped();
+    if (dropped == 0) return;
+    write(log, level, "log.dropped", {{"lines", dropped}});
+    const bool told = log.sink->dropped() == dropped;
+    log.sink->set_dropped(told ? 0 : dropped);
+}
+
 }  // namespace
 
 void log_start(std::string sidecar, LogLevel level) {
@@ -44,15 +153,8 @@
     if (!logs(level)) return;
     Log& log = the_log();
     try {
-        LogFields line = LogFields::object();
-        line["event"] = event;
-        line["sidecar"] = log.sidecar;
-        if (fields.is_object())
-            for (auto& [key, value] : fields.items()) line[key] = std::move(value);
-        else if (!fields.is_null())
-            line["value"] = std::move(fields);
-        std::string text = line.dump(-1, ' ', false, LogFields::error_handler_t::replace);
-        log.logger->log(level, std::string_view(text).substr(1, text.size() - 2));
+        tell_dropped(log, level);
+        write(log, level, event, std::move(fields));
     } catch (...) {  // the line is lost, not the work that wanted it
     }
 }
--- a/src/node/log.hpp
+++ b/src/node/log.hpp
@@ -2,6 +2,9 @@
 //   {"ts":"2026-12-01T21:00:00.123Z","level":"info","event":"part.what","sidecar":"NAME", ...fields}
 // `ts` is UTC with milliseconds; `level` is spdlog's name (trace, debug, info, warning, error, critical);
 // `event` is named `part.what` (see the layers' conventions); the fields are the event's own.
+// A reader that has stopped (a full pipe) or a disk that is full does not hold up the caller: lines that find
+// no room are dropped, and the first that finds some again is preceded by `log.dropped` with their number in
+// `lines`.
 #pragma once
 
 #include <spdlog/common.h>
