--- a/src/main.cpp
+++ b/src/main.cpp
@@ -8,6 +8,7 @@
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <cerrno>
+#include <csignal>
 #include <cstring>
 #include <filesystem>
 #include <functional>
@@ -30,6 +31,7 @@
 }
 
 int run(const std::optional<std::filesystem::path>& options_path) {
+    std::signal(SIGPIPE, SIG_IGN);  // whoever reads the log may go
     try {
         const node::Options options = options_at(options_path);
         node::Config config = node::effective_config(options);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -558,6 +558,14 @@
     expect_it_goes_on_without_a_reader();
 }
 
+TEST_F(Logging, AReaderThatHasGoneIsNotItsEnd) {
+    open_pipe();
+    begin([this] { return ::close(ends[0]) == 0 && ::dup2(ends[1], STDERR_FILENO) == STDERR_FILENO; });
+    ::close(std::exchange(ends[0], -1));
+    ASSERT_NO_FATAL_FAILURE(expect_it_serves());
+    expect_it_ends_well();
+}
+
 TEST_F(Logging, AFullDiskIsNotItsEnd) {
     begin([] { return std::freopen("/dev/full", "w", stderr) != nullptr; });
     ASSERT_NO_FATAL_FAILURE(expect_it_serves());
