--- a/src/main.cpp
+++ b/src/main.cpp
@@ -3,6 +3,7 @@
 //   mothring check-config FILE            validates a TOML or the platform's JSON file, prints the settings
 //   mothring lab SCENARIO.toml --out DIR  an experiment, by the program mothring_lab beside this one
 //   mothring version
+#include <fcntl.h>
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -30,7 +31,15 @@
     return path ? node::load_options(*path) : node::Options{};
 }
 
+// Standard descriptors that the platform left closed would be the numbers of the first sockets, and what is
+// written to standard error would go out there.
+void open_standard_descriptors() {
+    for (const int number : {STDIN_FILENO, STDOUT_FILENO, STDERR_FILENO})
+        if (::fcntl(number, F_GETFD) < 0 && ::open("/dev/null", O_RDWR) < 0) return;
+}
+
 int run(const std::optional<std::filesystem::path>& options_path) {
+    open_standard_descriptors();
     std::signal(SIGPIPE, SIG_IGN);  // whoever reads the log may go
     try {
         const node::Options options = options_at(options_path);
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -572,6 +572,17 @@
     expect_it_ends_well();
 }
 
+// Nothing of ours may take the numbers of the standard descriptors: log lines would go there.
+TEST_F(Logging, ClosedStandardDescriptorsAreGivenToNoSocket) {
+    begin([] { return ::close(0) == 0 && ::close(1) == 0 && ::close(2) == 0; });
+    ASSERT_NO_FATAL_FAILURE(expect_it_serves());
+    for (const int number : {0, 1, 2})
+        EXPECT_EQ(
+            std::filesystem::read_symlink("/proc/" + std::to_string(child) + "/fd/" + std::to_string(number)),
+            "/dev/null");
+    expect_it_ends_well();
+}
+
 TEST_F(Program, FollowsDiscoveryOnSighupAndSurvivesARubbishFile) {
     asio::io_context io;
     ScriptedServer first(io, [](const auto&) { return Reply{}; }), second(io, first.script);
