--- a/src/main.cpp
+++ b/src/main.cpp
@@ -70,6 +70,7 @@
                 io.run();
             } catch (const std::exception& error) {  // what one connection threw does not end the others
                 node::log(mothring::node::LogLevel::err, "io.failed", {{"error", error.what()}});
+                sidecar.note_failure();
             }
     } catch (const std::exception& error) {
         std::cerr << "mothring: " << error.what() << '\n';
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -40,6 +40,8 @@
 // request are ended. While one is not answered, as it came before with a longer time, it goes on and looks
 // again.
 constexpr Millis kKillAfter = 700, kReserve = 100, kLinger = 300, kLook = 50, kLongestDrain = 60000;
+// After a failure: what should have brought an answer at its deadline has not by then; 500 ms are allowed.
+constexpr Millis kOverdue = 100;
 
 // Whether the method and the key are those that the protocol gives to a class.
 bool in_form(const RequestClass& kind, const Front::Message& message, bool has_body) {
@@ -73,7 +75,8 @@
                 budget_),
       hot_restart_timer_(io),
       metrics_(config_.site.classes),
-      last_call_(io) {
+      last_call_(io),
+      overdue_timer_(io) {
     budget_->limit = buffers();
     if (config_.operators) {
         try {
@@ -263,12 +266,50 @@
             for (const Action& action : actions_) carry_out(action);
         } catch (const std::exception& error) {  // out of memory, say: costs this event and no other
             log(spdlog::level::err, "event.failed", {{"error", error.what()}});
+            note_failure();
         }
     }
     handling_ = false;
     arm();
 }
 
+// What failed may have cost any request that is held what would have brought its answer: an event, an
+// attempt, a timer. They are looked at until each has ended.
+void Sidecar::note_failure() {
+    for (const auto& [id, request] : requests_) doubtful_up_to_ = std::max(doubtful_up_to_, id);
+    try {
+        look_for_overdue(kLook);
+    } catch (const std::exception&) {  // no memory for the timer's wait: the next failure's look does it
+    }
+}
+
+void Sidecar::look_for_overdue(Millis in) {
+    overdue_timer_.expires_after(span(in));
+    overdue_timer_.async_wait(unless_over([this] {
+        if (!answer_overdue()) return;
+        look_for_overdue(kLook);
+    }));
+}
+
+// Whether any is left that was held when something failed.
+bool Sidecar::answer_overdue() {
+    const auto doubtful = [this](const auto& entry) {
+        const auto& [id, request] = entry;
+        const auto begun = [](const Attempt& attempt) { return attempt.out && attempt.begun > 0; };
+        return id <= doubtful_up_to_ && !request.ended && std::ranges::none_of(request.attempts, begun);
+    };
+    const auto overdue = [&](const auto& entry) {
+        return doubtful(entry) && clock_.now() >= entry.second.deadline + kOverdue;
+    };
+    for (auto at = std::ranges::find_if(requests_, overdue); at != requests_.end();
+         at = std::ranges::find_if(requests_, overdue)) {
+        const RequestId id = at->first;
+        give_answer(id, Front::Answer(http::status::gateway_timeout, 11));
+        gone(id);
+    }
+    return std::ranges::any_of(requests_, doubtful);
+}
+
 template <class... Ts>
 struct Overloaded : Ts... {
     using Ts::operator()...;
--- a/src/node/sidecar.hpp
+++ b/src/node/sidecar.hpp
@@ -40,6 +40,9 @@
     // Finishes what it holds and what still comes, then calls `done`.
     void drain(std::function<void()> done);
 
+    // An exception has left the io_context's loop; what it cost is not known.
+    void note_failure();
+
     Tcp::endpoint address() const { return front_->address(); }
     // Where operators call, if anywhere.
     std::optional<Tcp::endpoint> operator_address() const;
@@ -98,6 +101,8 @@
     };
 
     void give(Event event);
+    void look_for_overdue(Millis in);
+    bool answer_overdue();
     void carry_out(const Action& action);
     void carry_out(const Send& send);
     void carry_out(const Cancel& cancel);
@@ -169,6 +174,8 @@
     std::unordered_map<RequestId, Flight> flights_;
     std::optional<Front> front_;
     boost::asio::steady_timer last_call_;  // of a drain
+    boost::asio::steady_timer overdue_timer_;
+    RequestId doubtful_up_to_ = 0;  // held when something failed last: this request and those before it
     std::function<void()> drained_;
     Millis drain_ends_ = 0;  // none: no drain
     std::shared_ptr<const void> life_ = std::make_shared<const char>();
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -1,10 +1,32 @@
 // Trouble at servers or with other clients frees no request of its final answer: each has exactly one by its
 // deadline and half a second, or its connection is seen to end.
 #include <array>
+#include <atomic>
 #include <chrono>
+#include <cstdlib>
+#include <future>
+#include <map>
+#include <new>
+#include <thread>
 
 #include "net_rig.hpp"
 
+namespace {
+
+// How many allocations of this thread succeed before one fails; -1: none does.
+thread_local long allocations_left = -1;
+
+}  // namespace
+
+// Not taken apart by the optimizer, which would see malloc and delete, or new and free.
+[[gnu::noinline]] void* operator new(std::size_t size) {
+    if (allocations_left >= 0 && allocations_left-- == 0) throw std::bad_alloc();
+    if (void* const memory = std::malloc(size > 0 ? size : 1)) return memory;
+    throw std::bad_alloc();
+}
+[[gnu::noinline]] void operator delete(void* memory) noexcept { std::free(memory); }
+[[gnu::noinline]] void operator delete(void* memory, std::size_t) noexcept { std::free(memory); }
+
 namespace mothring::node::test {
 namespace {
 
@@ -246,5 +268,92 @@
     }
 }
 
+// ---- No memory ----
+
+// The sidecar on a thread of its own, with a loop as the program's: what one handler throws ends no other's
+// work.
+class SidecarThread {
+public:
+    explicit SidecarThread(Config config)
+        : sidecar_(io_, std::move(config)), thread_([this] {
+              while (!io_.stopped()) try {
+                      io_.run();
+                  } catch (const std::exception&) {
+                      ++thrown;
+                      sidecar_.note_failure();
+                  }
+          }) {}
+    ~SidecarThread() {
+        io_.stop();
+        thread_.join();
+    }
+    SidecarThread(const SidecarThread&) = delete;
+    SidecarThread& operator=(const SidecarThread&) = delete;
+
+    // What that call on the sidecar gives, made on its thread.
+    template <class Call>
+    auto ask(Call call) {
+        std::packaged_task<decltype(call(std::declval<Sidecar&>()))()> task([&] { return call(sidecar_); });
+        auto result = task.get_future();
+        asio::post(io_, [&] { task(); });
+        return result.get();
+    }
+    Tcp::endpoint address() const { return sidecar_.address(); }
+
+    std::atomic<int> thrown = 0;  // exceptions that reached the loop
+
+private:
+    asio::io_context io_;
+    Sidecar sidecar_;
+    std::thread thread_;
+};
+
+// One allocation fails on the way of each request, the first one, the second one and so on until a request
+// needs no more than that.
+struct NoMemory : FinalAnswer {
+    static constexpr int kShort = 40;  // ms, of each request
+    ScriptedServer::Script full_for_keyed = [](const auto& r) {
+        return r["Request-Class"] == "annotate" ? Reply{response("503 Full", "", "Not-Started: 1\r\n")}
+                                                : Reply{response("200 OK", "served")};
+    };
+    // For each class what had no answer in time, by the number of the allocation that failed. Where only
+    // events are meant, without those whose exception reached the loop and those that the sidecar has given
+    // their answer.
+    std::map<std::string, std::vector<long>> unanswered(const std::vector<std::string>& classes,
+                                                        bool only_events) {
+        std::map<std::string, std::vector<long>> lost;
+        for (const std::string& kind : classes) {
+            bool failed = true;
+            for (long nth = 0; failed && nth < 400; ++nth) {
+                SidecarThread sidecar(config());
+                TestClient client(io, sidecar.address());
+                client.send("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+                until([&] { return !client.answers.empty(); });
+                const int thrown = sidecar.thrown;
+                sidecar.ask([&](Sidecar&) { allocations_left = nth; });
+                client.send(request(kind, kind + std::to_string(nth), kShort));
+                const auto by = SteadyClock::now() + milliseconds(kShort) + kSlack;
+                const auto over = [&] { return client.answers.size() > 1 || client.ended; };
+                const auto passed_over = [&] { return only_events && sidecar.thrown != thrown; };
+                until([&] { return over() || SteadyClock::now() > by || passed_over(); });
+                failed = sidecar.ask([](Sidecar&) { return std::exchange(allocations_left, -1) < 0; });
+                const bool held = sidecar.ask([](Sidecar& s) { return s.records() > 0; });
+                if (!over() && !passed_over() && (held || !only_events)) lost[kind].push_back(nth);
+            }
+            EXPECT_FALSE(failed);
+        }
+        return lost;
+    }
+    Config config() const {
+        return read_config(
+            config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}, {"s-b", b.address()}})));
+    }
+};
+
+TEST_F(NoMemory, AnEventThatFailsTakesNoAnswerAway) {
+    a.script = b.script = full_for_keyed;
+    EXPECT_EQ(unanswered({"listen", "deposit"}, true), (std::map<std::string, std::vector<long>>()));
+}
+
 }  // namespace
 }  // namespace mothring::node::test
