--- a/src/main.cpp
+++ b/src/main.cpp
@@ -3,12 +3,14 @@
 //   mothring check-config FILE            validates a TOML or the platform's JSON file, prints the settings
 //   mothring lab SCENARIO.toml --out DIR  an experiment, by the program mothring_lab beside this one
 //   mothring version
+#include <fcntl.h>
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <cerrno>
 #include <chrono>
+#include <csignal>
 #include <cstring>
 #include <filesystem>
 #include <functional>
@@ -32,6 +34,13 @@
     return path ? node::load_options(*path) : node::Options{};
 }
 
+// Standard descriptors that the platform left closed would be the numbers of the first sockets, and what is
+// written to standard error would go out there.
+void open_standard_descriptors() {
+    for (const int number : {STDIN_FILENO, STDOUT_FILENO, STDERR_FILENO})
+        if (::fcntl(number, F_GETFD) < 0 && ::open("/dev/null", O_RDWR) < 0) return;
+}
+
 int not_started(const std::exception& error) {
     std::cerr << "mothring: " << error.what() << '\n';
     return 1;
@@ -66,6 +75,7 @@
             io.run();
         } catch (const std::exception& error) {  // what one connection threw does not end the others
             node::log(node::LogLevel::err, "io.failed", {{"error", error.what()}});
+            sidecar.note_failure();
         }
 }
 
@@ -75,6 +85,8 @@
 constexpr std::chrono::milliseconds kStartAgain(50);
 
 int run(const std::optional<std::filesystem::path>& options_path) {
+    open_standard_descriptors();
+    std::signal(SIGPIPE, SIG_IGN);  // whoever reads the log may go
     for (int starts = 1;; ++starts) try {
             serve(options_path);
             return 0;
--- a/tests/program_rig.hpp
+++ b/tests/program_rig.hpp
@@ -4,11 +4,14 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <cerrno>
 #include <csignal>
 #include <filesystem>
 #include <fstream>
 #include <functional>
+#include <list>
 #include <string>
+#include <system_error>
 
 #include "net_rig.hpp"
 
@@ -21,6 +24,18 @@
     Program() { std::filesystem::create_directories(folder); }
     ~Program() override { std::filesystem::remove_all(folder); }
 
+    // A port for the program to listen on, kept until the test's end from all others who ask the system for
+    // one: it is bound here as well, and listened on only by the program.
+    Tcp::endpoint free_address() {
+        Tcp::acceptor& port = ports.emplace_back(ports_io, any_port.protocol());
+        port.set_option(asio::socket_base::reuse_address(true));
+        port.set_option(asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
+        port.bind(any_port);
+        return port.local_endpoint();
+    }
+    asio::io_context ports_io;
+    std::list<Tcp::acceptor> ports;
+
     // Starts the program with its log in a file.
     pid_t start(const std::string& config, const std::string& log = "log") {
         return start_with(config,
@@ -30,6 +45,7 @@
     pid_t start_with(const std::string& config, const std::function<bool()>& set_up) {
         std::ofstream(folder / "config.json") << config;
         const pid_t child = ::fork();
+        if (child < 0) throw std::system_error(errno, std::generic_category(), "fork");
         if (child != 0) return child;
         ::setenv("LB_CONFIG", (folder / "config.json").c_str(), 1);
         ::setenv("TMPDIR", temporary.c_str(), 1);
