--- a/src/node/clock.hpp
+++ b/src/node/clock.hpp
@@ -3,6 +3,8 @@
 #pragma once
 
 #include <chrono>
+#include <functional>
+#include <utility>
 
 #include "mothring/balancer.hpp"
 
@@ -13,14 +15,21 @@
     return std::chrono::microseconds(static_cast<std::int64_t>(length * 1000));
 }
 
+// Reads a wall clock: Unix time in milliseconds, which may be stepped at any moment, forward or back.
+using ReadWallClock = std::function<Millis()>;
+inline Millis read_system_clock() { return millis(std::chrono::system_clock::now().time_since_epoch()); }
+
 class Clock {
 public:
     using Steady = std::chrono::steady_clock;
-    // `skew`: by how much it is off, for experiments.
-    explicit Clock(Millis skew = 0)
-        : unix_(skew + millis(std::chrono::system_clock::now().time_since_epoch())), steady_(Steady::now()) {}
+    // `skew`: by how much it is off (ms), for experiments. `read_wall`: the machine's wall clock.
+    explicit Clock(Millis skew = 0, ReadWallClock read_wall = read_system_clock)
+        : skew_(skew), read_wall_(std::move(read_wall)), unix_(wall()), steady_(Steady::now()) {}
 
     Millis now() const { return unix_ + millis(Steady::now() - steady_); }
+    // What the wall clock says at this moment (Unix ms): only for what other machines date by theirs. Spans
+    // of time are counted by now(), which no step moves.
+    Millis wall() const { return skew_ + read_wall_(); }
     // The first moment at which now() has reached it.
     Steady::time_point when(Millis at) const {
         return steady_ +
@@ -28,6 +37,8 @@
     }
 
 private:
+    Millis skew_;
+    ReadWallClock read_wall_;
     Millis unix_;
     Steady::time_point steady_;
 };
--- a/src/node/config.hpp
+++ b/src/node/config.hpp
@@ -12,6 +12,7 @@
 
 #include "cluster/settings.hpp"
 #include "node/address.hpp"
+#include "node/clock.hpp"
 #include "settings/site.hpp"
 
 namespace mothring::node {
@@ -65,8 +66,9 @@
         std::string header;      // whose value is the key; empty: the path and query are
     };
     std::vector<Affinity> affinity;
-    std::optional<cluster::Settings> cluster;  // none: the sidecars share nothing
-    Millis clock_skew = 0;                     // by which this process's clock is off, on purpose
+    std::optional<cluster::Settings> cluster;           // none: the sidecars share nothing
+    Millis clock_skew = 0;                              // by which this process's clock is off, on purpose
+    ReadWallClock read_wall_clock = read_system_clock;  // tests step it
 };
 
 Config read_config(std::string_view json);
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -163,8 +163,9 @@
 }
 
 Discovery::State Discovery::state() const {
-    State state{version_, calls_, {}, told_};
+    State state{version_, calls_, {}, {}, told_};
     if (answered_at_) state.age = millis(Steady::now() - *answered_at_);
+    if (answered_before_) state.age_before = millis(Steady::now() - *answered_before_);
     return state;
 }
 
@@ -239,7 +240,7 @@
     }
     backoff_ = kFirstBackoff;
     told_at_.reset();
-    answered_at_ = Steady::now();
+    answered_before_ = std::exchange(answered_at_, Steady::now());
     version_ = list->version;
     whole_ = false;
     if (active_) begin();  // before anything else: the next watch is due
--- a/src/node/discovery.hpp
+++ b/src/node/discovery.hpp
@@ -42,6 +42,7 @@
     struct State {
         std::uint64_t version = 0, calls = 0;  // made so far
         std::optional<Millis> age;             // since discovery last answered; none: not yet
+        std::optional<Millis> age_before;      // since the answer before that one; none: there was none
         bool failing = false;                  // the last call failed, or is late
     };
     State state() const;
@@ -73,7 +74,7 @@
     // `late_`: a watch that may have fallen silent, or be slow: kept until one of the two is answered.
     std::shared_ptr<Call> watch_, late_;
     std::uint64_t calls_ = 0;
-    std::optional<Steady::time_point> answered_at_;
+    std::optional<Steady::time_point> answered_at_, answered_before_;  // the last answer, the one before
     std::optional<Steady::time_point> told_at_;  // when what the list held may have missed counts as told
     Millis backoff_;
     bool active_ = false, told_ = false, whole_ = false;
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -65,7 +65,7 @@
 Sidecar::Sidecar(asio::io_context& io, Config config)
     : io_(io),
       config_(std::move(config)),
-      clock_(config_.clock_skew),
+      clock_(config_.clock_skew, config_.read_wall_clock),
       balancer_(config_.site.settings, config_.seed),
       timer_(io),
       upstream_(io,
@@ -201,6 +201,7 @@
     if (config.discovery == config_.discovery) return;
     log(spdlog::level::info, "discovery.moved", {{"address", written(config.discovery)}});
     config_.discovery = config.discovery;
+    discovery_moved_at_ = clock_.now();
     discovery_->move(config.discovery);
 }
 
@@ -535,6 +536,7 @@
              {"leaving", std::move(leaving)}});
     }
     ServerList event{kind, {}};
+    const ServerStartTimes::Moment moment = moment_of(kind);
     if (kind != ListKind::incremental)
         for (auto& [id, server] : servers_) server.listed = false;
     for (const Member& m : members.members) {
@@ -542,7 +544,8 @@
         servers_[id].listed = m.phase != Phase::off;
         servers_[id].leaving = m.phase != Phase::on;
         if (m.phase != Phase::off) upstream_.set_server(id, m.address, m.started);
-        event.servers.push_back({id, config_.site.zone(m.zone), m.cell, m.phase, m.started,
+        const Millis online_since = start_of(m, moment).at;
+        event.servers.push_back({id, config_.site.zone(m.zone), m.cell, m.phase, online_since,
                                  config_.site.kind(m.kind), XXH64(m.id.data(), m.id.size(), 0)});
     }
     give(std::move(event));
@@ -554,6 +557,26 @@
     if (!front_ && listed_ > 0 && kind != ListKind::saved) open_front();
 }
 
+// The saved list may be old, and bounds nobody's age; nor does what another discovery has told.
+ServerStartTimes::Moment Sidecar::moment_of(ListKind kind) const {
+    ServerStartTimes::Moment moment{clock_.now(), clock_.wall(), {}};
+    if (kind == ListKind::saved) return moment;
+    moment.since_answer = discovery_->state().age_before;
+    if (discovery_moved_at_ && moment.since_answer > moment.now - *discovery_moved_at_)
+        moment.since_answer.reset();
+    return moment;
+}
+
+ServerStartTimes::Start Sidecar::start_of(const Member& member, const ServerStartTimes::Moment& moment) {
+    const ServerStartTimes::Start start = start_times_.start_of(member.id, member.started, moment);
+    if (start.changed && start.dated)
+        log(spdlog::level::info, "server.start_dated", {{"server", member.id}});
+    else if (start.changed)
+        log(spdlog::level::warn, "server.start_not_dated",
+            {{"server", member.id}, {"started_ms", member.started}, {"taken_for", "started just now"}});
+    return start;
+}
+
 void Sidecar::forget_request(RequestId id) {
     const auto at = requests_.find(id);
     if (at != requests_.end() && at->second.ended && at->second.out == 0) requests_.erase(at);
@@ -563,6 +586,7 @@
     const auto at = servers_.find(id);
     if (at == servers_.end() || at->second.listed || at->second.out > 0) return;
     upstream_.forget_server(id);
+    start_times_.unlisted(at->second.name, clock_.now());
     server_ids_.erase(at->second.name);
     servers_.erase(at);
 }
--- a/src/node/sidecar.hpp
+++ b/src/node/sidecar.hpp
@@ -23,6 +23,7 @@
 #include "node/metrics.hpp"
 #include "node/operator.hpp"
 #include "node/peers.hpp"
+#include "node/server_start_times.hpp"
 #include "node/twin.hpp"
 #include "node/upstream.hpp"
 
@@ -123,6 +124,8 @@
 
     ServerId server_id(const std::string& name);
     void list(ListKind kind, const MemberList& members);
+    ServerStartTimes::Moment moment_of(ListKind kind) const;
+    ServerStartTimes::Start start_of(const Member& member, const ServerStartTimes::Moment& moment);
     void forget_request(RequestId id);
     void forget_server(ServerId id);
 
@@ -150,6 +153,8 @@
     std::map<ServerId, Server> servers_;
     std::unordered_map<std::string, ServerId> server_ids_;
     ServerId next_server_ = 1;
+    ServerStartTimes start_times_;
+    std::optional<Millis> discovery_moved_at_;  // none: it has not
     std::priority_queue<Due> due_;
     std::uint64_t next_due_ = 0;
     boost::asio::steady_timer timer_;
--- /dev/null
+++ b/tests/clock_step_test.cpp
@@ -0,0 +1,277 @@
+// The wall clocks of this machine, or of all machines, are stepped while the monotonic clock runs on: what
+// the sidecar makes of the starts that servers report, and that no span of time moves with a wall clock.
+#include <cmath>
+
+#include "net_rig.hpp"
+
+namespace mothring::node::test {
+namespace {
+
+constexpr Millis kSecond = 1000, kHour = 3600 * kSecond;
+
+// `started_ms` as discovery writes it: any JSON.
+std::string started_list(int version, bool full, const std::vector<std::pair<Listed, std::string>>& servers) {
+    std::string text = list_json(version, full, {});
+    const std::size_t end = text.rfind("]}");
+    std::string entries;
+    for (const auto& [server, started] : servers) {
+        const std::string one = list_json(1, true, {server});
+        const std::size_t from = one.find("{\"id\""), to = one.rfind("]}");
+        if (!entries.empty()) entries += ",";
+        entries += replaced(one.substr(from, to - from), "\"started_ms\":0", "\"started_ms\":" + started);
+    }
+    return text.insert(end, entries);
+}
+std::string written_ms(Millis at) { return std::to_string(static_cast<std::int64_t>(at)); }
+
+// A sidecar whose wall clock the test steps. Server a started long ago.
+struct ClockStepRig : NetRig {
+    Millis step = 0;  // of this machine's wall clock so far
+    Millis warm_within = 20 * kSecond;
+
+    // Whether the application, asking for much more than a cold server may have, has b serve a warm one's
+    // share. By chance a warm one gets about half of it, a cold one the token it may begin with.
+    bool b_is_warm() {
+        const std::size_t before = b.requests.size();
+        TestClient& application = client();
+        for (std::size_t i = 0; i < 40; ++i) {
+            application.send(request("listen", "r" + std::to_string(next_request++)));
+            until([&] { return application.answers.size() > i; });
+        }
+        const std::size_t of_b = b.requests.size() - before;
+        EXPECT_TRUE(of_b <= 3 || of_b >= 10) << of_b;
+        return of_b >= 10;
+    }
+    void start_stepped(const std::string& known) {
+        std::string text = config_json(agent.address(), known);
+        text = replaced(text, "\"warm-within-ms\":20000.0", "\"warm-within-ms\":" + written_ms(warm_within));
+        Config config = read_config(text);
+        config.read_wall_clock = [this] { return read_system_clock() + step; };
+        sidecar.emplace(io, std::move(config));
+    }
+    void start_with_warm_a() { start_stepped(started_list(41, true, {{listed_a, "0"}})); }
+    // Discovery answers the watch that is out, and the sidecar has taken it in.
+    void answer_watch(const std::string& list) {
+        until([&] { return !agent.requests.empty() && agent.requests.size() > answered; });
+        answered = agent.requests.size();
+        tell(list);
+        until([&] { return agent.requests.size() > answered; });
+    }
+    // Where `stepped` holds, the machines of the servers and of discovery have been stepped too.
+    Millis wall(bool stepped = true) const { return read_system_clock() + (stepped ? step : 0); }
+    std::string b_started(int version, Millis at) {
+        return started_list(version, false, {{listed_b, written_ms(at)}});
+    }
+    void pass(Millis length) {
+        const auto end = std::chrono::steady_clock::now() + span(length);
+        until([&] { return std::chrono::steady_clock::now() >= end; });
+    }
+
+    // By failures in each class, as each by itself shuns b at one.
+    void eject_b() {
+        b.script = [](const auto&) { return Reply{response("500 Internal Server Error")}; };
+        const std::vector<std::string> classes{"listen", "annotate", "deposit"};
+        TestClient& application = client();
+        for (std::size_t i = 0; i < 200 && sidecar->held().avoided == 0; ++i) {
+            application.send(request(classes[i % classes.size()], "e" + std::to_string(i)));
+            until([&] { return application.answers.size() > i; });
+        }
+        ASSERT_EQ(sidecar->held().avoided, 1U);
+    }
+
+    Listed listed_a{"s-a", a.address()}, listed_b{"s-b", b.address()};
+    std::size_t answered = 0;
+    int next_request = 0;
+};
+
+// Steps (ms) of the wall clock, and whether of all machines or of this one alone.
+struct StepCase {
+    Millis step;
+    bool everywhere;
+};
+struct ClockSteps : ClockStepRig, testing::WithParamInterface<StepCase> {};
+std::string name_of(const testing::TestParamInfo<StepCase>& test) {
+    const auto& [step, everywhere] = test.param;
+    return std::string(step < 0 ? "Back" : "Forward") + written_ms(std::abs(step) / kSecond) + "sOf" +
+           (everywhere ? "AllMachines" : "ThisMachine");
+}
+INSTANTIATE_TEST_SUITE_P(Each, ClockSteps,
+                         testing::Values(StepCase{-kHour, true}, StepCase{-kHour, false},
+                                         StepCase{-25 * kSecond, true}, StepCase{-25 * kSecond, false},
+                                         StepCase{25 * kSecond, true}, StepCase{25 * kSecond, false},
+                                         StepCase{kHour, true}, StepCase{kHour, false}),
+                         name_of);
+
+TEST_P(ClockSteps, BetweenAServersStartAndItsListingLeaveItAColdServersShare) {
+    start_with_warm_a();
+    answer_watch(list_json(42, false, {}));
+    const Millis started = wall();
+    step = GetParam().step;
+    answer_watch(b_started(43, started));
+    EXPECT_FALSE(b_is_warm());
+}
+
+TEST_P(ClockSteps, BeforeAServersStartLeaveItAColdServersShareForItsWarmUpOfRealTime) {
+    warm_within = 800;
+    start_with_warm_a();
+    answer_watch(list_json(42, false, {}));
+    step = GetParam().step;
+    answer_watch(b_started(43, wall(GetParam().everywhere)));
+    EXPECT_FALSE(b_is_warm());
+    pass(warm_within);
+    EXPECT_TRUE(b_is_warm());
+}
+
+TEST_P(ClockSteps, AfterAServersListingChangeNothingOfItsWarmUp) {
+    warm_within = 800;
+    start_with_warm_a();
+    answer_watch(list_json(42, false, {}));
+    const Millis started = wall();
+    answer_watch(b_started(43, started));
+    step = GetParam().step;
+    answer_watch(started_list(44, true, {{listed_a, "0"}, {listed_b, written_ms(started)}}));
+    EXPECT_FALSE(b_is_warm());
+    pass(warm_within);
+    answer_watch(started_list(45, true, {{listed_a, "0"}, {listed_b, written_ms(started)}}));
+    EXPECT_TRUE(b_is_warm());
+}
+
+TEST_P(ClockSteps, BeforeTheFirstAnswerLeaveAJustStartedServerAColdServersShare) {
+    start_with_warm_a();
+    step = GetParam().step;
+    answer_watch(
+        started_list(42, true, {{listed_a, "0"}, {listed_b, written_ms(wall(GetParam().everywhere))}}));
+    EXPECT_FALSE(b_is_warm());
+}
+
+// The server's machine alone is behind by an hour, or its clock was stepped before this process began.
+TEST_F(ClockStepRig, AServerThatComesWhileWatchedIsNoOlderThanTheLastAnswer) {
+    start_with_warm_a();
+    answer_watch(list_json(42, false, {}));
+    answer_watch(b_started(43, wall() - kHour));
+    EXPECT_FALSE(b_is_warm());
+}
+
+TEST_F(ClockStepRig, AServerThatReturnsToTheListWithTheSameStartKeepsItsAge) {
+    start_with_warm_a();
+    const Millis started = wall() - kHour;
+    answer_watch(started_list(42, true, {{listed_a, "0"}, {listed_b, written_ms(started)}}));
+    answer_watch(started_list(43, true, {{listed_a, "0"}}));
+    answer_watch(started_list(44, true, {{listed_a, "0"}, {listed_b, written_ms(started)}}));
+    EXPECT_TRUE(b_is_warm());
+}
+
+// Whoever discovery is there has a list of its own: its first answer may name servers that are old.
+TEST_F(ClockStepRig, TheFirstAnswerAfterDiscoveryHasMovedIsNoBoundForAges) {
+    start_with_warm_a();
+    answer_watch(list_json(42, false, {}));
+    ScriptedServer other(io, silence);
+    Config config = read_config(config_json(other.address(), list_json(41, true, {})));
+    sidecar->reconfigure(config);
+    until([&] { return other.requests.size() == 1; });
+    other.send(0, response("200 OK", b_started(43, wall() - kHour)));
+    until([&] { return other.requests.size() == 2; });
+    EXPECT_TRUE(b_is_warm());
+}
+
+TEST_F(ClockStepRig, ARestartAfterAStepBackStartsANewRecord) {
+    start_stepped(started_list(41, true, {{listed_a, "0"}, {listed_b, written_ms(wall() - 2 * kHour)}}));
+    answer_watch(list_json(42, false, {}));
+    eject_b();
+    step = -3 * kHour;
+    answer_watch(b_started(43, wall()));
+    EXPECT_EQ(sidecar->held().avoided, 0U);
+    b.script = serve;
+    EXPECT_FALSE(b_is_warm());
+}
+
+// ---- The dates themselves
+
+constexpr Millis kNow = 1'800'000'000'000;  // a time of the sidecar's
+using Moment = ServerStartTimes::Moment;
+
+Moment unwatched(Millis now, Millis step = 0) { return {now, now + step, {}}; }
+Moment watched(Millis now, Millis since_answer, Millis step = 0) { return {now, now + step, since_answer}; }
+
+TEST(ServerStartTimes, AgesAreCarriedOnFromTheFirstSightWhateverTheWallClockDoes) {
+    ServerStartTimes times;
+    EXPECT_EQ(times.start_of("s", kNow - 300, unwatched(kNow)).at, kNow - 300);
+    for (const Millis step : {-kHour, -5 * kSecond, 5 * kSecond, kHour}) {
+        EXPECT_EQ(times.start_of("s", kNow - 300, unwatched(kNow + 10, step)).at, kNow - 300);
+        EXPECT_EQ(times.start_of("s", kNow - 300, watched(kNow + 10, 1, step)).at, kNow - 300);
+    }
+}
+
+TEST(ServerStartTimes, AgesAreTheLessOfWhatTheTwoClocksTell) {
+    ServerStartTimes times;
+    const Millis forward = 5 * kSecond;
+    EXPECT_EQ(times.start_of("of this machine", kNow - 300, unwatched(kNow, forward)).at, kNow - 300);
+    const auto of_all = times.start_of("of all", kNow + forward - 300, unwatched(kNow, forward));
+    EXPECT_EQ(of_all.at, kNow);
+    EXPECT_TRUE(of_all.dated);
+    EXPECT_EQ(times.start_of("of all, back", kNow - forward - 300, unwatched(kNow, -forward)).at, kNow - 300);
+}
+
+TEST(ServerStartTimes, AChangeInEitherDirectionIsALaterStart) {
+    ServerStartTimes times;
+    Millis before = times.start_of("s", kNow - 2 * kHour, unwatched(kNow)).at;
+    for (const Millis reported : {kNow - kHour, kNow - 3 * kHour, -5.0, kNow + kHour, kNow - kHour, kNow}) {
+        const Millis at = times.start_of("s", reported, watched(kNow, 20)).at;
+        EXPECT_GT(at, before);
+        EXPECT_GE(at, kNow - 20);
+        before = at;
+    }
+}
+
+TEST(ServerStartTimes, ZeroIsLongAgoAndTellsOfNoRestart) {
+    ServerStartTimes times;
+    EXPECT_EQ(times.start_of("s", 0, watched(kNow, 20)).at, 0);
+    EXPECT_EQ(times.start_of("s", kNow, watched(kNow, 20)).at, kNow);
+    EXPECT_EQ(times.start_of("s", 0, watched(kNow + 100, 20)).at, kNow);
+}
+
+TEST(ServerStartTimes, AnEarlierStartThanTheSavedListNamesIsTakenForOneJustNow) {
+    ServerStartTimes times;
+    times.start_of("s", kNow - kHour, unwatched(kNow - 10));
+    const auto start = times.start_of("s", kNow - 2 * kHour, unwatched(kNow));
+    EXPECT_EQ(start.at, kNow);
+    EXPECT_FALSE(start.dated);
+}
+
+TEST(ServerStartTimes, WhatCannotBeRightIsTakenForJustNowAndToldOfOnce) {
+    for (const Millis wrong : {-5.0, 1e300, -1e300, std::nan(""), HUGE_VAL, kNow + kHour, kUnreadableStart}) {
+        ServerStartTimes times;
+        const auto first = times.start_of("s", wrong, unwatched(kNow));
+        EXPECT_EQ(first.at, kNow) << wrong;
+        EXPECT_TRUE(!first.dated && first.changed) << wrong;
+        const auto again = times.start_of("s", wrong, watched(kNow + 1, 20));
+        EXPECT_TRUE(again.at == kNow && !again.changed) << wrong;
+        EXPECT_FALSE(times.start_of("s", -7, watched(kNow + 2, 20)).changed) << wrong;  // another wrong one
+        const auto right = times.start_of("s", kNow, watched(kNow + 3, 20));
+        EXPECT_TRUE(right.dated && right.changed) << wrong;
+    }
+}
+
+TEST(ServerStartTimes, AFewMillisecondsAheadAreNoNews) {
+    ServerStartTimes times;
+    const auto start = times.start_of("s", kNow + 3, unwatched(kNow));
+    EXPECT_EQ(start.at, kNow);
+    EXPECT_TRUE(start.dated && !start.changed);
+}
+
+TEST(ServerStartTimes, OffTheListAreKeptForTenMinutes) {
+    ServerStartTimes times;
+    times.start_of("back in time", kNow - kHour, unwatched(kNow));
+    times.start_of("gone", kNow - kHour, unwatched(kNow));
+    times.unlisted("back in time", kNow);
+    times.unlisted("gone", kNow);
+    times.unlisted("never listed", kNow);
+    EXPECT_EQ(times.start_of("back in time", kNow - kHour, watched(kNow + 500 * kSecond, 20)).at,
+              kNow - kHour);
+    EXPECT_EQ(times.size(), 2U);
+    times.unlisted("another", kNow + 601 * kSecond);
+    EXPECT_EQ(times.size(), 1U);
+}
+
+}  // namespace
+}  // namespace mothring::node::test
