--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -4,6 +4,8 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
+#include "node/server_start_times.hpp"
+
 namespace mothring::node {
 
 namespace {
@@ -85,6 +87,13 @@
     std::map<std::string, std::string, std::less<>> values_;
 };
 
+// A start that is no number costs its server its age, and not the others their list.
+Millis started(const Json& entry) {
+    const auto at = entry.find("started_ms");
+    if (at == entry.end()) return 0;
+    return at->is_number() ? at->get<Millis>() : kUnreadableStart;
+}
+
 MemberList members(const Json& json) {
     MemberList list;
     list.version = get<std::uint64_t>(json, "version");
@@ -102,7 +111,7 @@
         m.zone = get_or<std::string>(entry, "zone", "");
         m.kind = get_or<std::string>(entry, "kind", "");
         m.cell = get_or<std::uint32_t>(entry, "cell", 0);
-        m.started = get_or<Millis>(entry, "started_ms", 0);
+        m.started = started(entry);
         list.members.push_back(std::move(m));
     }
     return list;
--- a/tests/clock_step_test.cpp
+++ b/tests/clock_step_test.cpp
@@ -273,5 +273,26 @@
     EXPECT_EQ(times.size(), 1U);
 }
 
+// ---- Starts that can't be read
+
+struct BadStarts : ClockStepRig, testing::WithParamInterface<const char*> {};
+INSTANTIATE_TEST_SUITE_P(Each, BadStarts,
+                         testing::Values("-5", "1e300", "-1e300", "null", "\"noon\"", "true", "[1]", "{}"));
+
+TEST_P(BadStarts, AreTakenForStartsJustNowAndTheRestOfTheListIsTaken) {
+    start_with_warm_a();
+    answer_watch(list_json(42, false, {}));
+    ScriptedServer c(io, serve);
+    answer_watch(started_list(43, false, {{listed_b, GetParam()}, {{"s-c", c.address()}, "0"}}));
+    EXPECT_FALSE(b_is_warm());
+    EXPECT_GE(c.requests.size(), 10U);
+    EXPECT_TRUE(watched_from("43"));
+}
+
+TEST_P(BadStarts, OfTheListAtTheStartKeepNoSidecarFromServing) {
+    start_stepped(started_list(41, true, {{listed_a, "0"}, {listed_b, GetParam()}}));
+    EXPECT_FALSE(b_is_warm());
+}
+
 }  // namespace
 }  // namespace mothring::node::test
