--- a/tests/clock_step_test.cpp
+++ b/tests/clock_step_test.cpp
@@ -89,6 +89,9 @@
     Millis step;
     bool everywhere;
 };
+void PrintTo(const StepCase& c, std::ostream* to) {
+    *to << c.step << (c.everywhere ? " everywhere" : " here");
+}
 struct ClockSteps : ClockStepRig, testing::WithParamInterface<StepCase> {};
 std::string name_of(const testing::TestParamInfo<StepCase>& test) {
     const auto& [step, everywhere] = test.param;
@@ -185,6 +188,54 @@
     EXPECT_FALSE(b_is_warm());
 }
 
+// ---- Spans of time
+
+// The wall clock is stepped by an hour in the middle of them.
+struct StepsInTheMiddle : ClockStepRig, testing::WithParamInterface<Millis> {
+    // The time (ms) from the request, taken before the step, to its answer, which has that status.
+    Millis time_to(unsigned status, const std::string& bytes) {
+        const auto began = std::chrono::steady_clock::now();
+        TestClient& application = client();
+        application.send(bytes);
+        until([&] { return sidecar->records() == 1; });
+        step = GetParam();
+        until([&] { return !application.answers.empty(); });
+        EXPECT_EQ(application.answers.at(0).result_int(), status);
+        return millis(std::chrono::steady_clock::now() - began);
+    }
+};
+INSTANTIATE_TEST_SUITE_P(Each, StepsInTheMiddle, testing::Values(-kHour, kHour));
+
+TEST_P(StepsInTheMiddle, LeaveADeadlineItsRealTime) {
+    start_with_warm_a();
+    a.script = silence;
+    const Millis time = time_to(503, request("listen", "r1", 300));
+    EXPECT_GE(time, 300);
+    EXPECT_LT(time, 1300);
+}
+
+TEST_P(StepsInTheMiddle, LeaveAHoldItsRealTime) {
+    listed_a.state = "Terminating";
+    start_with_warm_a();
+    const Millis time = time_to(503, request("listen", "r1"));
+    EXPECT_GE(time, 25);  // a sixteenth of the aim
+    EXPECT_LT(time, 1025);
+}
+
+TEST_P(StepsInTheMiddle, EndNoEjection) {
+    start_stepped(started_list(41, true, {{listed_a, "0"}, {listed_b, "0"}}));
+    eject_b();
+    const std::size_t before = b.requests.size();
+    step = GetParam();
+    TestClient& application = client();
+    for (std::size_t i = 0; i < 20; ++i) {
+        application.send(request("listen", std::to_string(i)));
+        until([&] { return application.answers.size() > i; });
+    }
+    EXPECT_EQ(sidecar->held().avoided, 1U);
+    EXPECT_EQ(b.requests.size(), before);
+}
+
 // ---- The dates themselves
 
 constexpr Millis kNow = 1'800'000'000'000;  // a time of the sidecar's
