--- a/src/lab/discovery.cpp
+++ b/src/lab/discovery.cpp
@@ -33,12 +33,6 @@
     return std::nullopt;
 }
 
-std::uint64_t unix_ms() {
-    return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
-                                          std::chrono::system_clock::now().time_since_epoch())
-                                          .count());
-}
-
 }  // namespace
 
 DiscoveryStandIn::DiscoveryStandIn(AddressOf address_of, Millis service, Millis patience)
@@ -85,12 +79,16 @@
 void DiscoveryStandIn::restarted(const std::string& id) {
     worker_.call([&] {
         ++version_;
-        entries_.at(id).started_ms = unix_ms();
+        entries_.at(id).started_ms = static_cast<std::uint64_t>(node::read_system_clock() + stepped_by_);
         changed(id);
         wake();
     });
 }
 
+void DiscoveryStandIn::step_clocks(Millis by) {
+    worker_.call([&] { stepped_by_ += by; });
+}
+
 void DiscoveryStandIn::set_mode(Mode mode) {
     worker_.call([&] {
         mode_ = mode;
--- a/src/lab/discovery.hpp
+++ b/src/lab/discovery.hpp
@@ -35,7 +35,8 @@
     Tcp::endpoint add_viewer(const std::string& viewer);
     void put(const std::vector<Entry>& entries);  // new ones, or changed: one version
     void set_state(const std::vector<std::string>& ids, const std::string& state);
-    void restarted(const std::string& id);        // started_ms is now
+    void restarted(const std::string& id);        // started_ms is now, by the servers' wall clocks
+    void step_clocks(Millis by);                  // theirs, from now on; forward where above 0
     void set_mode(Mode mode);                     // going down ends the watches
     std::string list(const std::string& viewer);  // the whole of it, as `known`
     std::uint64_t calls();
@@ -60,6 +61,7 @@
     AddressOf address_of_;
     Millis service_, patience_;
     Mode mode_ = Mode::up;
+    Millis stepped_by_ = 0;  // the servers' wall clocks against this machine's
     std::uint64_t version_ = 0, calls_ = 0;
     std::map<std::string, Entry> entries_;
     std::map<std::string, std::uint64_t> changed_at_;  // the version that changed it last
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -54,6 +54,21 @@
     EXPECT_EQ(Histogram().percentile(0.5), 0u);
 }
 
+TEST(DiscoveryStandIn, TellsStartsByTheServersSteppedClocks) {
+    DiscoveryStandIn discovery([](const auto&, const auto&) { return any_tcp_port; });
+    discovery.put({{"s-a", "hall-a"}});
+    for (const Millis step : {-3600000.0, 5000.0, 3600000.0}) {
+        discovery.step_clocks(step);
+        const Millis before = node::read_system_clock();
+        discovery.restarted("s-a");
+        const auto list = Json::parse(discovery.list("n1"));
+        const Millis started = list["servers"][0]["started_ms"].get<Millis>();
+        discovery.step_clocks(-step);
+        EXPECT_GE(started, std::floor(before + step));
+        EXPECT_LE(started, node::read_system_clock() + step);
+    }
+}
+
 TEST(Scenarios, NameTheKeyAndTheLineOfWhatIsWrong) {
     const std::vector<std::pair<std::string, std::string>> cases{
         {"duration_s = \"long\"\n", "s.toml:1: 'duration_s' expects a number from 0.1 to 3600"},
