--- /dev/null
+++ b/tests/scale_test.cpp
@@ -0,0 +1,190 @@
+// What a fleet of sixteen times the usual scan servers costs a sidecar: bytes for each listed server, and
+// work for each change of the list, as slopes and ratios. Every allocation of this program is counted.
+#include <gtest/gtest.h>
+#include <malloc.h>
+
+#include <algorithm>
+#include <atomic>
+#include <cstdlib>
+#include <filesystem>
+#include <new>
+
+#include "net_rig.hpp"
+#include "rig.hpp"
+
+namespace {
+
+// Of the heap, through operator new: what is held now, the most that was, and how often it was asked.
+struct Heap {
+    std::atomic<std::size_t> held{0}, most{0}, asked{0};
+};
+Heap heap;
+
+void* counted(std::size_t size) {
+    void* const memory = std::malloc(std::max<std::size_t>(1, size));
+    if (!memory) throw std::bad_alloc();
+    const std::size_t now = heap.held += malloc_usable_size(memory);
+    heap.most = std::max<std::size_t>(heap.most, now);
+    ++heap.asked;
+    return memory;
+}
+
+void give_back(void* memory) {
+    if (!memory) return;
+    heap.held -= malloc_usable_size(memory);
+    std::free(memory);
+}
+
+}  // namespace
+
+void* operator new(std::size_t size) { return counted(size); }
+void* operator new[](std::size_t size) { return counted(size); }
+void operator delete(void* memory) noexcept { give_back(memory); }
+void operator delete[](void* memory) noexcept { give_back(memory); }
+void operator delete(void* memory, std::size_t) noexcept { give_back(memory); }
+void operator delete[](void* memory, std::size_t) noexcept { give_back(memory); }
+
+namespace mothring::test {
+namespace {
+
+constexpr ServerId kUsual = 200, kMost = 3200;
+// The terms: peak memory may grow by 4 MB for each thousand scan servers, in all.
+constexpr double kBytesPerServer = 4000;
+// The policy keeps a third of that; the rest is for names, addresses, connections and lists in passing.
+constexpr double kPolicyBytesPerServer = kBytesPerServer / 3;
+constexpr int kChanges = 100;
+
+double slope(std::size_t at_usual, std::size_t at_most) {
+    return (static_cast<double>(at_most) - static_cast<double>(at_usual)) / (kMost - kUsual);
+}
+
+// A policy among 900 sidecars that has sent requests at large in a fleet of so many servers.
+class LargeFleet {
+public:
+    explicit LargeFleet(ServerId count) : servers_(make_servers(count)), balancer_(settings(), 1) {
+        give(Started{});
+        give(ServerList{ListKind::full, servers_});
+        for (int i = 0; i < 2000; ++i) serve_one();
+    }
+    // Servers in turn begin to leave and come back, one at a time.
+    void change(int count) {
+        for (int i = 0; i < count; ++i) {
+            ServerInfo& server = servers_[changes_++ / 2 * kStride % servers_.size()];
+            server.phase = server.phase == Phase::on ? Phase::fading : Phase::on;
+            change_.servers.assign(1, server);
+            give(change_);
+        }
+    }
+
+private:
+    static constexpr std::size_t kStride = 7;
+    static Settings settings() {
+        Settings settings = make_settings();
+        settings.siblings = 900;
+        return settings;
+    }
+    void give(const Event& event) {
+        actions_.clear();
+        balancer_.handle(now_, event, actions_);
+    }
+    void serve_one() {
+        constexpr Millis kAnswer = 20;
+        give(RequestArrived{++request_, 0, 1000});
+        now_ += kAnswer;
+        give(AttemptEnded{request_, 0, Outcome::completed, kAnswer, true});
+    }
+
+    std::vector<ServerInfo> servers_;
+    Balancer balancer_;
+    std::vector<Action> actions_;
+    ServerList change_{ListKind::incremental, {}};
+    std::size_t changes_ = 0;
+    Millis now_ = 1e6;
+    RequestId request_ = 0;
+};
+
+std::size_t held_by_policy(ServerId count) {
+    const std::size_t before = heap.held;
+    const LargeFleet fleet(count);
+    return heap.held - before;
+}
+
+TEST(Scale, PolicyHoldsLittleForEachListedServer) {
+    const double bytes = slope(held_by_policy(kUsual), held_by_policy(kMost));
+    RecordProperty("bytes_per_server", std::to_string(bytes));
+    EXPECT_LT(bytes, kPolicyBytesPerServer);
+}
+
+TEST(Scale, AChangeOfOneServerAllocatesNoMoreInALargeFleet) {
+    LargeFleet usual(kUsual), large(kMost);
+    const auto asked_by = [](LargeFleet& fleet) {
+        fleet.change(kChanges);  // what grows once has grown
+        const std::size_t before = heap.asked;
+        fleet.change(kChanges);
+        return heap.asked - before;
+    };
+    EXPECT_LE(asked_by(large), asked_by(usual));
+}
+
+}  // namespace
+}  // namespace mothring::test
+
+namespace mothring::node::test {
+namespace {
+
+using mothring::test::kBytesPerServer, mothring::test::kChanges, mothring::test::kMost,
+    mothring::test::kUsual, mothring::test::slope;
+
+std::size_t descriptors() {
+    const std::filesystem::directory_iterator open("/proc/self/fd");
+    return static_cast<std::size_t>(std::distance(begin(open), end(open)));
+}
+
+// A sidecar between one agent and one server that is listed so many times.
+struct ScaleOverSockets : NetRig {
+    struct Cost {
+        std::size_t held = 0, most = 0, grown = 0, descriptors = 0;
+    };
+    // Starts it, tells it a hundred changes and then the whole list anew.
+    Cost cost_of(std::size_t count) {
+        std::vector<Listed> servers;
+        for (std::size_t i = 0; i < count; ++i)
+            servers.push_back({"scan-server-" + std::to_string(i), a.address()});
+        const std::string whole = list_json(kVersion + kChanges + 1, true, servers);
+        sidecar.reset();
+        until([&] { return agent.ended() == agent.connections.size(); });
+        const std::size_t descriptors_before = descriptors(), before = heap.held;
+        heap.most = before;
+        start(servers);
+        until([&] { return watched_from(std::to_string(kVersion)); });
+        Cost cost;
+        cost.held = heap.held - before;
+        for (int i = 1; i <= kChanges; ++i) {
+            const Listed& one = servers[static_cast<std::size_t>(i / 2)];
+            tell(list_json(kVersion + i, false, {{one.id, one.address, i % 2 ? "Draining" : "Ready"}}));
+            until([&] { return watched_from(std::to_string(kVersion + i)); });
+        }
+        cost.grown = std::max<std::size_t>(heap.held, before + cost.held) - before - cost.held;
+        tell(whole);
+        until([&] { return watched_from(std::to_string(kVersion + kChanges + 1)); });
+        cost.most = heap.most - before;
+        cost.descriptors = descriptors() - descriptors_before;
+        return cost;
+    }
+    static constexpr int kVersion = 41;  // of the list that NetRig starts with
+};
+
+TEST_F(ScaleOverSockets, ALongListCostsLittleMemoryAndNoDescriptors) {
+    const Cost usual = cost_of(kUsual), large = cost_of(kMost);
+    RecordProperty("held_per_server", std::to_string(slope(usual.held, large.held)));
+    RecordProperty("most_per_server", std::to_string(slope(usual.most, large.most)));
+    RecordProperty("grown_usual", std::to_string(usual.grown));
+    RecordProperty("grown_large", std::to_string(large.grown));
+    RecordProperty("descriptors", std::to_string(large.descriptors));
+    EXPECT_LT(slope(usual.most, large.most), kBytesPerServer);
+    EXPECT_LT(slope(usual.grown, large.grown), kBytesPerServer / kChanges) << "changes hold nothing";
+    EXPECT_EQ(usual.descriptors, large.descriptors);
+}
+
+}  // namespace
+}  // namespace mothring::node::test
