--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -163,7 +163,7 @@
         answer.prepare_payload();
         const auto out = std::make_shared<Answer>(std::move(answer));
         http::async_write(socket_, *out, [self = shared_from_this(), out](error_code failed, std::size_t) {
-            if (self->owner_) self->answered(!failed, out->keep_alive());
+            if (self->owner_) self->guarded([&] { self->answered(!failed, out->keep_alive()); });
         });
     }
 
@@ -196,6 +196,18 @@
         };
     }
 
+    // An exception (no memory, say) must not leave a client waiting in vain: it sees its connection's end.
+    template <class Work>
+    void guarded(Work work) {
+        const auto self = shared_from_this();
+        try {
+            work();
+        } catch (...) {
+            close();
+            throw;
+        }
+    }
+
     void close() {
         if (!owner_) return;
         Front* const owner = std::exchange(owner_, nullptr);
@@ -230,7 +242,7 @@
             self->waiting_ = false;
             if (!self->owner_) return;
             if (failed) return self->close();
-            self->readable();
+            self->guarded([&] { self->readable(); });
         });
     }
 
@@ -265,7 +277,8 @@
                 continue;
             }
             if (turns >= kTurns) {  // the others' turn
-                return asio::post(socket_.get_executor(), [self = shared_from_this()] { self->feed(); });
+                return asio::post(socket_.get_executor(),
+                                  [self = shared_from_this()] { self->guarded([&] { self->feed(); }); });
             }
             if (!receive()) return;
         }
@@ -381,7 +394,7 @@
             self->received_ = 0;
             self->body_timer();
             asio::post(self->socket_.get_executor(), [self] {
-                if (self->owner_) self->feed();
+                if (self->owner_) self->guarded([&] { self->feed(); });
             });
         };
         body_began_ = began_;
@@ -393,7 +406,7 @@
                           [self = shared_from_this(), line](error_code failed, std::size_t) {
                               if (!self->owner_) return;
                               if (failed) return self->close();
-                              self->feed();
+                              self->guarded([&] { self->feed(); });
                           });
         return false;
     }
@@ -720,7 +733,7 @@
     if (at == held_.end()) return;
     const ClientPtr client = at->second;
     held_.erase(at);
-    client->answer(std::move(answer));
+    client->guarded([&] { client->answer(std::move(answer)); });
 }
 
 void Front::stream(RequestId request, Head head, std::shared_ptr<Pipe> body) {
@@ -728,7 +741,7 @@
     if (at == held_.end()) return;
     const ClientPtr client = at->second;
     held_.erase(at);
-    client->stream(std::move(head), std::move(body));
+    client->guarded([&] { client->stream(std::move(head), std::move(body)); });
 }
 
 void Front::drain(Millis accepting) {
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -355,5 +355,10 @@
     EXPECT_EQ(unanswered({"listen", "deposit"}, true), (std::map<std::string, std::vector<long>>()));
 }
 
+TEST_F(NoMemory, WhateverFailsTakesNoAnswerAway) {
+    a.script = b.script = full_for_keyed;
+    EXPECT_EQ(unanswered(kinds, false), (std::map<std::string, std::vector<long>>()));
+}
+
 }  // namespace
 }  // namespace mothring::node::test
