--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -35,6 +35,7 @@
 constexpr double kGatherPart = 8;  // of the shortest aim, what an answer of unknown length may be kept back
 constexpr Millis kNever = 1e15;
 constexpr Millis kOtherProcessLook = 50;  // between looks for another process of this sidecar
+constexpr Millis kListenAgain = 50;       // when no socket is to be had
 constexpr Millis kAccepting = 500;        // of a drain: new connections come for up to 400 ms
 // Of a drain. The longest deadline and 0.7 s after SIGTERM whatever is not answered may be lost (PROTOCOL,
 // "Figures"): what still comes has its answer kReserve sooner, and kLinger before that connections without a
@@ -77,6 +78,7 @@
                  gather(config_.site.settings)},
                 budget_),
       hot_restart_timer_(io),
+      listen_timer_(io),
       metrics_(config_.site.classes),
       last_call_(io),
       overdue_timer_(io) {
@@ -117,6 +119,7 @@
     give(Started{});
     if (config_.cluster) open_cluster();
     list(ListKind::saved, config_.known);
+    config_.known = {};
     if (!asked) discovery_->watch(true);
     // Beside another process clients come here as soon as we listen: not before there is a server to send to.
     if (!halved_ || listed_ > 0) open_front();
@@ -143,6 +146,20 @@
     log(spdlog::level::info, "sidecar.listening", std::move(addresses));
 }
 
+// Beside another process this one begins to listen long after its start: what fails then, for want of a
+// descriptor or memory, must not leave it without a listener.
+void Sidecar::open_front_when_possible() {
+    try {
+        open_front();
+    } catch (const boost::system::system_error& error) {
+        log(spdlog::level::warn, "sidecar.not_listening", {{"error", error.code().message()}});
+        listen_timer_.expires_after(span(kListenAgain));
+        listen_timer_.async_wait(unless_over([this] {
+            if (!front_ && !drained_) open_front_when_possible();
+        }));
+    }
+}
+
 void Sidecar::open_cluster() {
     if (!config_.may_tell)
         return log(spdlog::level::warn, "cluster.off", {{"why", "limits.may-tell forbids peer messages"}});
@@ -596,36 +613,55 @@
 }
 
 void Sidecar::list(ListKind kind, const MemberList& members) {
-    if (logs(spdlog::level::debug)) {
-        LogFields leaving = LogFields::array();
-        for (const Member& m : members.members)
-            if (m.phase != Phase::on) leaving.push_back(m.id);
-        log(spdlog::level::debug, "list.changed",
-            {{"version", members.version},
-             {"full", members.full},
-             {"entries", members.members.size()},
-             {"leaving", std::move(leaving)}});
-    }
+    log_list(members);
     ServerList event{kind, {}};
     const ServerStartTimes::Moment moment = moment_of(kind);
     if (kind != ListKind::incremental)
-        for (auto& [id, server] : servers_) server.listed = false;
-    for (const Member& m : members.members) {
-        const ServerId id = server_id(m.id);
-        servers_[id].listed = m.phase != Phase::off;
-        servers_[id].leaving = m.phase != Phase::on;
-        if (m.phase != Phase::off) upstream_.set_server(id, m.address, m.started);
-        const Millis online_since = start_of(m, moment).at;
-        event.servers.push_back({id, config_.site.zone(m.zone), m.cell, m.phase, online_since,
-                                 config_.site.kind(m.kind), XXH64(m.id.data(), m.id.size(), 0)});
-    }
+        for (auto& [id, server] : servers_) set_listed(server, false);
+    for (const Member& m : members.members) event.servers.push_back(take_member(m, moment));
+    // A change is of few servers, however many are listed: no other one can have left by it.
+    std::vector<ServerId> concerned;
+    if (kind == ListKind::incremental)
+        for (const ServerInfo& server : event.servers) concerned.push_back(server.id);
+    else
+        for (const auto& [id, server] : servers_) concerned.push_back(id);
     give(std::move(event));
-    std::vector<ServerId> ids;
-    for (const auto& [id, server] : servers_) ids.push_back(id);
-    for (const ServerId id : ids) forget_server(id);
-    listed_ = static_cast<std::size_t>(
-        std::count_if(servers_.begin(), servers_.end(), [](const auto& s) { return s.second.listed; }));
-    if (!front_ && listed_ > 0 && kind != ListKind::saved) open_front();
+    for (const ServerId id : concerned) forget_server(id);
+    if (!front_ && listed_ > 0 && kind != ListKind::saved) open_front_when_possible();
+}
+
+void Sidecar::log_list(const MemberList& members) const {
+    if (!logs(spdlog::level::debug)) return;
+    LogFields leaving = LogFields::array();
+    for (const Member& m : members.members)
+        if (m.phase != Phase::on) leaving.push_back(m.id);
+    log(spdlog::level::debug, "list.changed",
+        {{"version", members.version},
+         {"full", members.full},
+         {"entries", members.members.size()},
+         {"leaving", std::move(leaving)}});
+}
+
+ServerInfo Sidecar::take_member(const Member& member, const ServerStartTimes::Moment& moment) {
+    const ServerId id = server_id(member.id);
+    Server& server = servers_[id];
+    set_listed(server, member.phase != Phase::off);
+    server.leaving = member.phase != Phase::on;
+    if (server.listed) upstream_.set_server(id, member.address, member.started);
+    const Millis online_since = start_of(member, moment).at;
+    return {id,
+            config_.site.zone(member.zone),
+            member.cell,
+            member.phase,
+            online_since,
+            config_.site.kind(member.kind),
+            XXH64(member.id.data(), member.id.size(), 0)};
+}
+
+void Sidecar::set_listed(Server& server, bool listed) {
+    listed_ += listed;
+    listed_ -= server.listed;
+    server.listed = listed;
 }
 
 // The saved list may be old, and bounds nobody's age; nor does what another discovery has told.
--- a/src/node/sidecar.hpp
+++ b/src/node/sidecar.hpp
@@ -120,6 +120,7 @@
     void ended(RequestId id, std::uint32_t attempt, Outcome outcome, Upstream::Response response);
     void probe(ServerId server);
     void open_front();
+    void open_front_when_possible();
     void open_cluster();
     std::uint64_t affinity_of(std::string_view class_name, const Front::Message& message) const;
     void watch_other_process();
@@ -131,6 +132,9 @@
 
     ServerId server_id(const std::string& name);
     void list(ListKind kind, const MemberList& members);
+    void log_list(const MemberList& members) const;
+    ServerInfo take_member(const Member& member, const ServerStartTimes::Moment& moment);
+    void set_listed(Server& server, bool listed);
     ServerStartTimes::Moment moment_of(ListKind kind) const;
     ServerStartTimes::Start start_of(const Member& member, const ServerStartTimes::Moment& moment);
     void forget_request(RequestId id);
@@ -172,10 +176,10 @@
     std::optional<cluster::Agent> cluster_;
     LogLimit rejected_{std::chrono::seconds(1)};  // a flood of bad datagrams writes a line a second
     std::optional<HotRestartLock> hot_restart_lock_;
-    boost::asio::steady_timer hot_restart_timer_;
+    boost::asio::steady_timer hot_restart_timer_, listen_timer_;
     OtherProcess other_process_ = OtherProcess::alone;
-    bool halved_ = false;  // another process of this sidecar has the other half, or may have it
-    std::size_t listed_ = 0;
+    bool halved_ = false;     // another process of this sidecar has the other half, or may have it
+    std::size_t listed_ = 0;  // of servers_
     Metrics metrics_;
     std::unordered_map<RequestId, Flight> flights_;
     std::optional<Front> front_;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -184,7 +184,7 @@
 namespace {
 
 using mothring::test::kBytesPerServer, mothring::test::kChanges, mothring::test::kMost,
-    mothring::test::kUsual, mothring::test::slope;
+    mothring::test::kSameWork, mothring::test::kUsual, mothring::test::slope;
 
 std::size_t descriptors() {
     const std::filesystem::directory_iterator open("/proc/self/fd");
@@ -222,6 +222,25 @@
         cost.descriptors = descriptors() - descriptors_before;
         return cost;
     }
+    // The processor time of a change over sockets, the least of a hundred, with so many listed.
+    double time_of_change(std::size_t count) {
+        std::vector<Listed> servers;
+        for (std::size_t i = 0; i < count; ++i)
+            servers.push_back({"scan-server-" + std::to_string(i), a.address()});
+        sidecar.reset();
+        until([&] { return agent.ended() == agent.connections.size(); });
+        start(servers);
+        until([&] { return watched_from(std::to_string(kVersion)); });
+        double least = std::numeric_limits<double>::infinity();
+        for (int i = 1; i <= kChanges; ++i) {
+            const Listed& one = servers[static_cast<std::size_t>(i / 2)];
+            const double before = mothring::test::processor_time();
+            tell(list_json(kVersion + i, false, {{one.id, one.address, i % 2 ? "Draining" : "Ready"}}));
+            until([&] { return watched_from(std::to_string(kVersion + i)); });
+            least = std::min(least, mothring::test::processor_time() - before);
+        }
+        return least;
+    }
     static constexpr int kVersion = 41;  // of the list that NetRig starts with
 };
 
@@ -237,5 +256,11 @@
     EXPECT_EQ(usual.descriptors, large.descriptors);
 }
 
+TEST_F(ScaleOverSockets, AChangeOfOneServerCostsTheSameInALargeFleet) {
+    const double usual = time_of_change(kUsual), large = time_of_change(kMost);
+    RecordProperty("ratio", std::to_string(large / usual));
+    EXPECT_LT(large, kSameWork * usual);
+}
+
 }  // namespace
 }  // namespace mothring::node::test
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -210,6 +210,24 @@
 // ---- A client's end ---------------------------------------------------------------------------------------
 
 // The look at its connection right before the first byte of an attempt is interrupted, and is made again.
+// Beside another process one without a list begins to listen when it has one.
+TEST_F(SystemCalls, NoSocketForTheListener_isAskedForAgain) {
+    Config config = read_config(config_json(agent.address(), list_json(41, true, {})));
+    config.listen = Tcp::acceptor(io, any_port).local_endpoint();
+    config.operators = any_port;
+    HotRestartLock other(HotRestartLock::temporary_folder(),
+                         "127.0.0.1-" + std::to_string(config.listen.port()));
+    other.other_lives();
+    sidecar.emplace(io, config);
+    ASSERT_TRUE(sidecar->halved());
+    until([&] { return watched_from("41"); });
+    faults.fail(SystemCall::socket, ENFILE, 2);
+    tell(list_json(42, false, {{"s-a", a.address()}}));
+    until([&] { return faults.failed(SystemCall::socket) == 2; });
+    EXPECT_FALSE(sidecar->ready());
+    until([&] { return sidecar->ready(); });
+}
+
 TEST_F(SystemCalls, InterruptedLook_stillSeesThatTheClientHasLeft) {
     start_with_a();
     EXPECT_EQ(ask(request("deposit", "id-1")).result_int(), 200u);
