--- a/tests/clock_step_test.cpp
+++ b/tests/clock_step_test.cpp
@@ -88,10 +88,10 @@
 struct StepCase {
     Millis step;
     bool everywhere;
+    friend std::ostream& operator<<(std::ostream& out, const StepCase& c) {
+        return out << c.step << (c.everywhere ? " everywhere" : " here");
+    }
 };
-void PrintTo(const StepCase& c, std::ostream* to) {
-    *to << c.step << (c.everywhere ? " everywhere" : " here");
-}
 struct ClockSteps : ClockStepRig, testing::WithParamInterface<StepCase> {};
 std::string name_of(const testing::TestParamInfo<StepCase>& test) {
     const auto& [step, everywhere] = test.param;
