--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -389,6 +389,7 @@
     copy_end_to_end(to.message, from);
     to.message.set(http::field::host, from[http::field::host]);
     to.may_begin = [this, send](Upstream::Message& head) { return may_begin(send, head); };
+    to.still_wanted = [this, id = send.id] { return !front_->left(id); };
     if (!to.may_begin(to.message)) return ended(send.id, number, Outcome::superseded, {});
     if ((to.body = r.body)) r.body->rewind();
     r.attempts[number].exchange = upstream_.start(
@@ -540,11 +541,11 @@
             if (attempt.begun == 0) run_out(id, i);
         });
     give(ClientGone{id});
-    // Settings may forbid to withdraw what has begun. What has not must never begin, and what can't come to
-    // its end without the client is not left to run out.
-    each_out([&](const Request& r, const Attempt& attempt, std::uint32_t i) {
+    // Settings may forbid to withdraw what a server has whole. What it has not must never come to be, and
+    // what can't come to its end without the client is not left to run out.
+    each_out([&](const Request&, const Attempt& attempt, std::uint32_t i) {
         const bool begun = upstream_.begun(attempt.exchange);
-        if (begun && r.whole_at > 0 && attempt.begun == 0) return;
+        if (upstream_.written(attempt.exchange) && attempt.begun == 0) return;
         upstream_.stop(attempt.exchange);
         ended(id, i, begun ? Outcome::recalled : Outcome::superseded, {});
     });
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -10,6 +10,7 @@
 #include "node/clock.hpp"
 #include "node/log.hpp"
 #include "node/message.hpp"
+#include "node/message_writer.hpp"
 #include "node/socket_errors.hpp"
 
 namespace mothring::node {
@@ -111,14 +112,14 @@
     std::chrono::steady_clock::time_point idle_since() const { return since_; }
 
     bool begun() const { return begun_; }
-    // Whether the request may have been written whole.
+    bool written() const { return written_; }
+    // Whether the request has been written whole.
     bool stop() {
-        const bool written = (writing_ && last_) || written_;
         const auto pipe = let_go();
         exchange_.reset();
         close();
         if (pipe) pipe->fail();
-        return written;
+        return written_;
     }
 
     void close() {
@@ -163,7 +164,7 @@
     // ---- The request ----
 
     void write() {
-        writing_ = begun_ = true;
+        begun_ = true;
         written_ = last_ = false;
         const auto request = exchange_->request;
         auto& message = request->message;
@@ -174,58 +175,67 @@
             message.body() = boost::beast::span<const char>(body.data(), body.size());
             message.prepare_payload();
             last_ = true;
-            http::async_write(socket_, message,
-                              [self = shared_from_this(), request](error_code failed, std::size_t) {
-                                  self->wrote(failed, *request, 0);
-                              });
-            return;
+            return write_out(write_step(message, Part::whole), 0);
         }
         if (request->body->length)
             message.content_length(*request->body->length);
         else
             message.chunked(true);
-        const auto serializer =
-            std::make_shared<http::request_serializer<http::span_body<const char>>>(message);
-        http::async_write_header(socket_, *serializer,
-                                 [self = shared_from_this(), request, serializer](
-                                     error_code failed, std::size_t) { self->wrote(failed, *request, 0); });
         request->body->on_more = [weak = weak_from_this()] {
             if (const auto self = weak.lock()) self->pump();
         };
+        write_out(write_step(message, Part::header), 0);
     }
 
     // Passes on what has come of the body; its last bytes go out with what ends it.
     void pump() {
         if (!owner_ || !exchange_ || writing_ || written_ || last_) return;
-        const auto request = exchange_->request;
-        Pipe& body = *request->body;
+        Pipe& body = *exchange_->request->body;
         const auto bytes = body.unread();
         // With a stated length its last byte goes out before its end is told.
         last_ = body.whole() || body.length == body.total();
         if (bytes.empty() && !last_) return;
-        writing_ = true;
         const asio::const_buffer out(bytes.data(), bytes.size());
-        const auto done = [self = shared_from_this(), request, count = bytes.size()](
-                              error_code failed, std::size_t) { self->wrote(failed, *request, count); };
         if (body.length)
-            asio::async_write(socket_, out, done);
+            write_out(write_step(out), bytes.size());
         else if (bytes.empty())
-            asio::async_write(socket_, http::make_chunk_last(), done);
+            write_out(write_step(http::make_chunk_last()), 0);
         else if (!last_)
-            asio::async_write(socket_, http::make_chunk(out), done);
+            write_out(write_step(http::make_chunk(out)), bytes.size());
         else
-            asio::async_write(
-                socket_, boost::beast::buffers_cat(http::make_chunk(out), http::make_chunk_last()), done);
+            write_out(write_step(boost::beast::buffers_cat(http::make_chunk(out), http::make_chunk_last())),
+                      bytes.size());
+    }
+
+    // What is to be done later, provided that the request is still the same one then.
+    template <class Work>
+    auto if_still_out(Work work) {
+        return [self = shared_from_this(), request = exchange_->request, work] {
+            if (self->exchange_ && self->exchange_->request == request) work();
+        };
+    }
+
+    // Takes `count` from the body when all of this has been written.
+    void write_out(const WriteStep& step, std::size_t count) {
+        writing_ = true;
+        error_code failed;
+        if (write_what_is_taken(step, socket_, failed)) return wrote(count);
+        if (!is_to_be_repeated(failed))  // never from within start()
+            return asio::post(socket_.get_executor(), if_still_out([this] { fail(false); }));
+        const auto go_on = if_still_out([this, step, count] {
+            const auto& wanted = exchange_->request->still_wanted;
+            if (!wanted || wanted()) write_out(step, count);
+        });
+        socket_.async_wait(Tcp::socket::wait_write, [go_on](error_code) { go_on(); });
     }
 
-    void wrote(error_code failed, const Request& request, std::size_t count) {
+    void wrote(std::size_t count) {
         writing_ = false;
-        written_ = !failed && last_;
-        if (written_ && request.attempt) ++stats_->attempts;
-        if (failed || broken_) return fail(written_);
-        if (!exchange_ || exchange_->request.get() != &request) return;
-        if (count > 0) request.body->take(count);
-        if (!written_) pump();
+        written_ = last_;
+        const auto request = exchange_->request;
+        if (written_ && request->attempt) ++stats_->attempts;
+        if (count > 0) request->body->take(count);
+        if (!written_ && request->body) pump();
     }
 
     // ---- Its answer ----
@@ -245,7 +255,7 @@
     void feed() {
         const auto self = shared_from_this();
         for (int turns = 0;; ++turns) {
-            if (!owner_ || !exchange_ || broken_) return;
+            if (!owner_ || !exchange_) return;
             if (pipe_ && pipe_->room() == 0) return full();
             if (buffer_.size() > 0) {
                 if (!parse()) return;
@@ -318,7 +328,7 @@
         if (parser_->is_done()) return answered(), false;
         const bool large = pipe_ && pipe_->length && *pipe_->length > Pipe::kMost && pipe_->total() > 0;
         if (pipe_ && !streaming_ && (large || pipe_->full())) full();
-        return exchange_ && !broken_;
+        return exchange_.has_value();
     }
 
     bool head_done() {
@@ -369,11 +379,7 @@
             not_http_log().log(spdlog::level::warn, "upstream.not_http", {{"why", why.message()}});
         // The proof that it never ran stands in the header.
         if (parser_ && parser_->is_header_done() && parser_->get().result_int() != 200) return answered();
-        if (!writing_) return fail(written_);
-        // Whether the last byte went out, the write's own end tells; nothing more goes out now.
-        broken_ = true;
-        error_code ignored;
-        socket_.close(ignored);
+        fail(written_);
     }
 
     void answered() {
@@ -444,7 +450,7 @@
     std::optional<Exchange> exchange_;
     std::chrono::steady_clock::time_point since_;
     bool connected_ = false, waiting_ = false, streaming_ = false, begun_ = false;
-    bool writing_ = false, last_ = false, written_ = false, broken_ = false;  // the request
+    bool writing_ = false, last_ = false, written_ = false;  // the request
 };
 
 Upstream::Upstream(asio::io_context& io, Limits limits, std::shared_ptr<Budget> budget)
@@ -544,6 +550,11 @@
     return at != exchanges_.end() && at->second->begun();
 }
 
+bool Upstream::written(ExchangeId id) const {
+    const auto at = exchanges_.find(id);
+    return at != exchanges_.end() && at->second->written();
+}
+
 void Upstream::ended(ExchangeId exchange, const Done& done, Outcome outcome, Response response) {
     exchanges_.erase(exchange);
     done(outcome, std::move(response));
--- a/src/node/upstream.hpp
+++ b/src/node/upstream.hpp
@@ -28,6 +28,9 @@
         // Asked when its connection has come up, right before its first byte: completes the head by what is
         // known only then. False: it is not issued after all. None: it always is, as it stands.
         std::function<bool(Message&)> may_begin = nullptr;
+        // Asked before more of it is written after a wait for a server that didn't read. False: nothing more
+        // goes out, and the exchange is to be stopped. None: all of it is to go out.
+        std::function<bool()> still_wanted = nullptr;
     };
     using Response = boost::beast::http::response<boost::beast::http::string_body>;
     using Head = boost::beast::http::response<boost::beast::http::empty_body>;
@@ -60,6 +63,8 @@
     bool stop(ExchangeId exchange);
     // Whether its first byte may have gone out.
     bool begun(ExchangeId exchange) const;
+    // Whether its last byte has been handed to the kernel.
+    bool written(ExchangeId exchange) const;
 
     struct Stats {
         std::size_t open = 0, opened = 0;
--- a/tests/system_call_faults.cpp
+++ b/tests/system_call_faults.cpp
@@ -69,12 +69,6 @@
     return true;
 }
 
-bool fails(SystemCall call, int socket) {
-    if (!state.armed) return false;
-    Fault& fault = fault_of(call);
-    return matches(fault.ports, socket) && fails(fault);
-}
-
 /// How much of it is moved at a time.
 std::size_t shortened(SystemCall call, int socket, std::size_t size) {
     const Fault& fault = fault_of(call);
@@ -85,16 +79,27 @@
 template <class Function>
 Function next(const char* name);
 
-/// After a short read or write there is no other, by epoll(7), until the queue has told of the descriptor
-/// anew: where the kernel would have moved more, it has to be asked to.
-ssize_t told_anew(ssize_t moved, SystemCall call, int socket) {
+/// By epoll(7) a queue tells of a descriptor once, and not again before a call has moved nothing: where the
+/// kernel would have moved more than a fault allows, the queue has to be asked to tell again.
+void tell_again(int socket) {
     static const auto real = next<decltype(&::epoll_ctl)>("epoll_ctl");
     const int saved = errno;
     const auto at = watched().find(socket);
-    const bool was_cut = moved > 0 && fault_of(call).most_bytes == static_cast<std::size_t>(moved);
-    if (state.armed && was_cut && at != watched().end() && matches(fault_of(call).ports, socket))
-        real(at->second.first, EPOLL_CTL_MOD, socket, &at->second.second);
+    if (at != watched().end()) real(at->second.first, EPOLL_CTL_MOD, socket, &at->second.second);
     errno = saved;
+}
+
+bool fails(SystemCall call, int socket) {
+    if (!state.armed) return false;
+    Fault& fault = fault_of(call);
+    if (!matches(fault.ports, socket) || !fails(fault)) return false;
+    if (fault.error == EAGAIN) tell_again(socket);
+    return true;
+}
+
+ssize_t told_again(ssize_t moved, SystemCall call, int socket) {
+    const bool was_cut = moved > 0 && fault_of(call).most_bytes == static_cast<std::size_t>(moved);
+    if (state.armed && was_cut && matches(fault_of(call).ports, socket)) tell_again(socket);
     return moved;
 }
 
@@ -199,7 +204,7 @@
     static const auto real = faults::next<decltype(&::recv)>("recv");
     if (faults::fails(SystemCall::receive, socket)) return -1;
     const ssize_t moved = real(socket, bytes, faults::shortened(SystemCall::receive, socket, size), flags);
-    return faults::told_anew(moved, SystemCall::receive, socket);
+    return faults::told_again(moved, SystemCall::receive, socket);
 }
 
 ssize_t recvfrom(int socket, void* bytes, size_t size, int flags, sockaddr* from, socklen_t* from_size) {
@@ -219,14 +224,14 @@
     message->msg_flags = cut.msg_flags;
     message->msg_namelen = cut.msg_namelen;
     message->msg_controllen = cut.msg_controllen;
-    return faults::told_anew(moved, SystemCall::receive, socket);
+    return faults::told_again(moved, SystemCall::receive, socket);
 }
 
 ssize_t send(int socket, const void* bytes, size_t size, int flags) {
     static const auto real = faults::next<decltype(&::send)>("send");
     if (faults::fails(SystemCall::send, socket)) return -1;
     const ssize_t moved = real(socket, bytes, faults::shortened(SystemCall::send, socket, size), flags);
-    return faults::told_anew(moved, SystemCall::send, socket);
+    return faults::told_again(moved, SystemCall::send, socket);
 }
 
 ssize_t sendto(int socket, const void* bytes, size_t size, int flags, const sockaddr* to, socklen_t to_size) {
@@ -242,7 +247,7 @@
     msghdr cut = *message;
     cut.msg_iov = parts.data();
     cut.msg_iovlen = parts.size();
-    return faults::told_anew(real(socket, &cut, flags), SystemCall::send, socket);
+    return faults::told_again(real(socket, &cut, flags), SystemCall::send, socket);
 }
 
 }  // extern "C"
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -304,6 +304,62 @@
     EXPECT_EQ(a.requests.size(), 2u);
 }
 
+// An upload that is whole here while its server takes no more of it, with a client that leaves: it is not
+// finished, also where settings forbid to withdraw what a server has whole.
+struct UploadToABusyServer : SystemCalls {
+    const std::string body = std::string(Pipe::kMost + 2000, 'x');
+    static constexpr int kLongTime = 60000;  // ms, far more than until() waits
+
+    void start_without_cancelling() {
+        const std::string text = config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}}));
+        sidecar.emplace(io, read_config(replaced(text, "\"may-cancel\":true", "\"may-cancel\":false")));
+    }
+    // Begun, and then held up; `early` is what its client sends behind it.
+    TestClient& upload(const std::string& early) {
+        const std::string whole = request("deposit", "id-1", kLongTime, body);
+        const std::size_t first_part = whole.size() - 10;
+        TestClient& c = client();
+        c.send(whole.substr(0, first_part));
+        until([&] { return a.connections.size() == 1 && a.connections[0]->parser->is_header_done(); });
+        faults.fail(SystemCall::send, EAGAIN, kForever, to(a));
+        c.send(whole.substr(first_part) + early);
+        until([&] { return sidecar->metrics().in_flight == 1; });
+        return c;
+    }
+    void server_takes_more() { faults.fail(SystemCall::send, EAGAIN, 0); }
+    void expect_not_finished() {
+        until([&] { return sidecar->records() == 0 && a.ended() == 1; });
+        EXPECT_EQ(a.requests.size(), 0u);
+    }
+};
+
+TEST_F(UploadToABusyServer, ClientLeaves_isNotFinished) {
+    start_without_cancelling();
+    upload("").close();
+    until([&] { return sidecar->records() == 0; });
+    server_takes_more();
+    expect_not_finished();
+}
+
+// Bytes of a next request hide the end of a client from whoever waits for it.
+TEST_F(UploadToABusyServer, ClientLeavesUnseen_isNotFinished) {
+    start_without_cancelling();
+    upload("G").close();
+    let_pass(std::chrono::milliseconds(20));
+    server_takes_more();
+    expect_not_finished();
+}
+
+TEST_F(UploadToABusyServer, ClientStays_isFinished) {
+    start_without_cancelling();
+    TestClient& c = upload("");
+    server_takes_more();
+    until([&] { return c.answers.size() == 1; });
+    EXPECT_EQ(c.answers[0].result_int(), 200u);
+    ASSERT_EQ(a.requests.size(), 1u);
+    EXPECT_EQ(a.requests[0].body(), body);
+}
+
 // What is broken before the last byte of a request never ran; after that it may have, and is not sent again.
 TEST_F(ConnectingOut, BrokenWriting_neverRan) {
     for (const int error : {EPIPE, ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
