--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -116,6 +116,29 @@
     move_until(peers, [&] { return sum("served") == 1; });
 }
 
+// Its client can't be given any other answer any more, so it is given up only when the server has been silent
+// for the longest deadline: a pause of 2 s, which loses a request where the sidecar makes it, cuts off
+// nothing.
+TEST_F(Stream, ASilentServerWithinItsAnswerIsWaitedForAndGivenUp) {
+    using std::chrono::milliseconds;
+    constexpr milliseconds kPauseOfAServer{2200}, kGivenUpAfter{3000}, kSlackOfTheLoop{500};
+    start_raw();
+    std::list<RawPeer> peers;
+    peers.emplace_back(io, sidecar->address()).out = request("listen", "id-1", 300);
+    move_until(peers, [&] { return !servers.empty() && !servers.front().in.empty(); });
+    servers.front().out = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst";
+    move_until(peers, [&] { return body_of(peers.front().in) == "first"; });
+    const auto later = std::chrono::steady_clock::now() + kPauseOfAServer;
+    move_until(peers, [&] { return std::chrono::steady_clock::now() > later; });
+    servers.front().out = "second";
+    move_until(peers, [&] { return body_of(peers.front().in) == "firstsecond"; });
+    const auto silent_since = std::chrono::steady_clock::now();
+    move_until(peers, [&] { return peers.front().ended; });
+    EXPECT_LT(std::chrono::steady_clock::now() - silent_since, kGivenUpAfter + kSlackOfTheLoop);
+    until([&] { return sidecar->records() == 0 && sidecar->metrics().in_flight == 0; });
+    EXPECT_EQ(sum("served"), 0);
+}
+
 // Neither length nor end is known: what there is goes on after a while, in chunks.
 TEST_F(Stream, AnAnswerInChunksIsPassedOnAsItComes) {
     start_raw();
