--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -13,10 +13,11 @@
 #include <chrono>
 #include <deque>
 #include <random>
+#include <span>
 #include <stdexcept>
 
+#include "cluster/freshness_challenges.hpp"
 #include "node/address.hpp"
-#include "node/clock.hpp"
 #include "node/socket_errors.hpp"
 
 namespace mothring::cluster {
@@ -43,15 +44,18 @@
 
 class Agent::Impl : public std::enable_shared_from_this<Impl> {
 public:
-    Impl(asio::io_context& io, Settings settings, std::string name, std::string version, Callbacks callbacks)
+    Impl(asio::io_context& io, Settings settings, std::string name, std::string version, Callbacks callbacks,
+         node::Clock clock)
         : io_(io),
           settings_(std::move(settings)),
           callbacks_(std::move(callbacks)),
+          clock_(std::move(clock)),
           udp_(io),
           acceptor_(io),
           timer_(io),
           receive_again_(io),
-          random_(std::random_device{}()) {
+          random_(std::random_device{}()),
+          challenges_(settings_.parameters.period, [this] { return unpredictable_sequence(); }) {
         listen();
         Claim self;
         self.name = std::move(name);
@@ -143,22 +147,61 @@
             if (failed && receive_pace_.pauses_after(failed)) return false;
             if (failed) continue;
             receive_pace_.succeeded();
-            auto opened = codec_->open({buffer_.data(), size}, Codec::kLongestDatagram);
-            if (const auto* const why = std::get_if<Rejection>(&opened)) {
-                reject(*why, node::written(sender));
-                continue;
-            }
-            const auto* const message = std::get_if<Message>(&std::get<Payload>(opened));
-            if (!message) {
-                reject(Rejection::malformed, node::written(sender));
-                continue;
-            }
-            Effects effects;
-            membership_->receive(clock_.now(), *message, node::written(sender), effects);
-            carry_out(effects);
+            receive_datagram({buffer_.data(), size}, sender);
         }
         return true;
     }
+    void receive_datagram(std::span<const std::uint8_t> bytes, const Udp::endpoint& sender) {
+        const std::string from = node::written(sender);
+        const auto payload = open(bytes, Codec::kLongestDatagram, from, sender);
+        if (!payload) return;
+        const auto* const message = std::get_if<Message>(&*payload);
+        if (!message) return reject(Rejection::malformed, from);
+        Effects effects;
+        membership_->receive(clock_.now(), *message, from, effects);
+        carry_out(effects);
+    }
+    // What may be acted on. The rest is counted; a life that may be proven is challenged at the `sender`, or,
+    // where that is not known, where its name is known to listen.
+    std::optional<Payload> open(std::span<const std::uint8_t> bytes, std::size_t longest,
+                                const std::string& from, const std::optional<Udp::endpoint>& sender) {
+        auto opened = codec_->open(bytes, longest);
+        if (auto* const payload = std::get_if<Payload>(&opened)) return std::move(*payload);
+        if (const auto* const why = std::get_if<Rejection>(&opened)) {
+            reject(*why, from);
+            return std::nullopt;
+        }
+        auto& unproven = std::get<Unproven>(opened);
+        if (!proves_its_life(unproven)) {
+            reject(Rejection::replayed, from);
+            challenge(unproven.from, sender);
+            return std::nullopt;
+        }
+        codec_->take_life(unproven);
+        return std::move(unproven.payload);
+    }
+    bool proves_its_life(const Unproven& unproven) {
+        const auto* const message = std::get_if<Message>(&unproven.payload);
+        return message && message->kind == Message::Kind::ack &&
+               challenges_.answer(clock_.now(), unproven.from, message->sequence);
+    }
+    void challenge(const std::string& name, const std::optional<Udp::endpoint>& sender) {
+        const std::string& self = membership_->self().name;
+        if (is_silent() || name == self) return;
+        const auto known = where({name, "", {}});
+        const auto to = sender ? sender : known;
+        if (!to) return;
+        using Receiver = FreshnessChallenges::Receiver;
+        const auto sequence = challenges_.issue(clock_.now(), name, node::written(*to),
+                                                to == known ? Receiver::member : Receiver::stranger);
+        if (sequence) send_datagram({Message::Kind::ping, *sequence, self, name, {}}, *to);
+    }
+    // From the system's own source, as no challenge may be foretold from earlier ones.
+    std::uint64_t unpredictable_sequence() {
+        return std::uniform_int_distribution<std::uint64_t>()(entropy_);
+    }
+    // One that has left, or whose name another process has, says nothing any more.
+    bool is_silent() const { return membership_->superseded() || membership_->self().state == State::left; }
     void reject(Rejection why, const std::string& from) {
         ++figures_.rejected[static_cast<std::size_t>(why)];
         if (callbacks_.rejected) callbacks_.rejected(why, from);
@@ -189,14 +232,7 @@
 
     void carry_out(const Effects& effects) {
         for (const Effects::Send& send : effects.sends) {
-            const auto to = where(send);
-            if (!to) continue;
-            const Bytes bytes = codec_->seal(send.message);
-            if (bytes.size() > Codec::kLongestDatagram) continue;  // claims' room keeps it below
-            error_code lost;                                       // as any datagram may be
-            udp_.send_to(asio::buffer(bytes), *to, 0, lost);
-            figures_.bytes_sent += bytes.size();
-            ++figures_.datagrams_sent;
+            if (const auto to = where(send)) send_datagram(send.message, *to);
         }
         for (const Effects::Change& change : effects.changes)
             if (callbacks_.learnt) callbacks_.learnt(change);
@@ -211,6 +247,14 @@
             if (callbacks_.changed) callbacks_.changed(view);
         }
     }
+    void send_datagram(const Message& message, const Udp::endpoint& to) {
+        const Bytes bytes = codec_->seal(message);
+        if (bytes.size() > Codec::kLongestDatagram) return;  // claims' room keeps it below
+        error_code lost;                                     // as any datagram may be
+        udp_.send_to(asio::buffer(bytes), to, 0, lost);
+        figures_.bytes_sent += bytes.size();
+        ++figures_.datagrams_sent;
+    }
     std::optional<Udp::endpoint> where(const Effects::Send& send) const {
         if (!send.address.empty()) return endpoint_of<Udp::endpoint>(send.address);
         if (const auto route = settings_.routes.find(send.to);
@@ -249,7 +293,9 @@
                 const Tcp::endpoint seed = unanswered.front();
                 unanswered.pop_front();
                 const bool answered = co_await call(self, seed);
-                if (!answered) unanswered.push_back(seed);
+                if (answered) continue;
+                unanswered.push_back(seed);
+                self->announce(seed);
             }
             if (unanswered.empty()) {
                 periods = self->membership_->sync_periods();
@@ -260,6 +306,14 @@
         }
     }
 
+    // A seed may not have answered because it takes this life for a recording. An exchange does not tell it
+    // where to send a challenge: an empty datagram does, by the address that it comes from.
+    void announce(const Tcp::endpoint& seed) {
+        if (closed_ || is_silent()) return;
+        const Udp::endpoint address(seed.address(), seed.port());
+        send_datagram({Message::Kind::gossip, 0, membership_->self().name, "", {}}, address);
+    }
+
     // Whether the other answered.
     static asio::awaitable<bool> call(Self self, Tcp::endpoint to) {
         auto socket = std::make_shared<Tcp::socket>(self->io_);
@@ -357,12 +411,9 @@
         Bytes bytes(size);
         co_await asio::async_read(socket, asio::buffer(bytes), into(failed));
         if (failed) co_return std::nullopt;
-        auto opened = codec_->open(bytes, Codec::kLongestSync);
-        if (const auto* const why = std::get_if<Rejection>(&opened)) {
-            reject(*why, "tcp");
-            co_return std::nullopt;
-        }
-        auto* const sync = std::get_if<Sync>(&std::get<Payload>(opened));
+        auto payload = open(bytes, Codec::kLongestSync, "tcp", std::nullopt);
+        if (!payload) co_return std::nullopt;
+        auto* const sync = std::get_if<Sync>(&*payload);
         if (!sync) co_return std::nullopt;
         co_return std::move(*sync);
     }
@@ -376,6 +427,8 @@
     asio::steady_timer timer_, receive_again_;
     node::FailurePace receive_pace_, accept_pace_;
     std::mt19937_64 random_;
+    std::random_device entropy_;
+    FreshnessChallenges challenges_;
     std::optional<Codec> codec_;
     std::optional<Membership> membership_;
     std::array<std::uint8_t, Codec::kLongestDatagram + 1> buffer_{};
@@ -388,9 +441,9 @@
 };
 
 Agent::Agent(asio::io_context& io, Settings settings, std::string name, std::string version,
-             Callbacks callbacks)
+             Callbacks callbacks, node::Clock clock)
     : impl_(std::make_shared<Impl>(io, std::move(settings), std::move(name), std::move(version),
-                                   std::move(callbacks))) {
+                                   std::move(callbacks), std::move(clock))) {
     impl_->begin();
 }
 Agent::~Agent() { impl_->close(); }
--- a/src/cluster/agent.hpp
+++ b/src/cluster/agent.hpp
@@ -14,6 +14,7 @@
 #include "cluster/codec.hpp"
 #include "cluster/membership.hpp"
 #include "cluster/settings.hpp"
+#include "node/clock.hpp"
 
 namespace mothring::cluster {
 
@@ -39,9 +40,10 @@
         std::function<void(Rejection, const std::string& from)> rejected;
     };
 
-    // Listens when it returns. Throws boost::system::system_error where it can't.
+    /// Listens when it returns. Throws boost::system::system_error where it can't. The member's life and
+    /// first incarnation are taken from `clock` (Unix ms), and all its times are counted by it.
     Agent(boost::asio::io_context& io, Settings settings, std::string name, std::string version,
-          Callbacks callbacks);
+          Callbacks callbacks, node::Clock clock = node::Clock());
     ~Agent();
     Agent(const Agent&) = delete;
     Agent& operator=(const Agent&) = delete;
--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::uint8_t kSyncKind = 255;
 constexpr std::size_t kLongestText = 255;
-constexpr std::size_t kNames = 4096;  // whose windows are kept
+constexpr std::size_t kNames = 4096;  // whose lives are remembered
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
@@ -121,7 +121,8 @@
     return bytes;
 }
 
-std::variant<Payload, Rejection> Codec::open(std::span<const std::uint8_t> bytes, std::size_t longest) {
+std::variant<Payload, Rejection, Unproven> Codec::open(std::span<const std::uint8_t> bytes,
+                                                       std::size_t longest) {
     if (bytes.size() > longest) return Rejection::oversized;
     if (bytes.size() <= kSealed) return Rejection::malformed;
     if (bytes[0] != kVersion) return Rejection::version;
@@ -155,37 +156,27 @@
             message.claims = read_claims(in.object());
             payload = std::move(message);
         }
-        if (!fresh(from, life, counter)) return Rejection::replayed;
-        return payload;
+        switch (judge(from, life, counter)) {
+            case KnownLives::Verdict::fresh:
+                return payload;
+            case KnownLives::Verdict::unproven:
+                return Unproven{from, life, counter, std::move(payload)};
+            case KnownLives::Verdict::replayed:
+                break;
+        }
+        return Rejection::replayed;
     } catch (const std::exception&) {
         return Rejection::malformed;
     }
 }
 
-bool Codec::fresh(const std::string& name, std::uint64_t life, std::uint64_t counter) {
-    if (name == name_ && life == life_) return false;  // our own, come back
-    if (!windows_.contains(name) && windows_.size() >= kNames) return false;
-    auto& lives = windows_[name];
-    if (!lives.contains(life)) {
-        if (lives.size() == 2) {
-            if (life < lives.begin()->first) return false;
-            lives.erase(lives.begin());
-        }
-    }
-    Window& window = lives[life];
-    if (counter > window.highest) {
-        const std::uint64_t step = counter - window.highest;
-        if (step >= kWindow)
-            window.seen.reset();
-        else
-            for (std::uint64_t c = window.highest + 1; c < counter; ++c) window.seen.reset(c % kWindow);
-        window.highest = counter;
-        window.seen.set(counter % kWindow);
-        return true;
-    }
-    if (window.highest - counter >= kWindow || window.seen.test(counter % kWindow)) return false;
-    window.seen.set(counter % kWindow);
-    return true;
+void Codec::take_life(const Unproven& proof) { known_[proof.from].prove(proof.life, proof.counter); }
+
+KnownLives::Verdict Codec::judge(const std::string& name, std::uint64_t life, std::uint64_t counter) {
+    const bool came_back = name == name_ && life == life_;
+    if (came_back) return KnownLives::Verdict::replayed;
+    if (!known_.contains(name) && known_.size() >= kNames) return KnownLives::Verdict::replayed;
+    return known_[name].judge(life, counter);
 }
 
 }  // namespace mothring::cluster
--- a/src/cluster/codec.hpp
+++ b/src/cluster/codec.hpp
@@ -5,7 +5,6 @@
 #pragma once
 
 #include <array>
-#include <bitset>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -14,6 +13,7 @@
 #include <variant>
 #include <vector>
 
+#include "cluster/known_lives.hpp"
 #include "cluster/membership.hpp"
 
 namespace mothring::cluster {
@@ -34,6 +34,15 @@
 
 using Payload = std::variant<Message, Sync>;
 
+/// An authentic payload of a life that is unknown and not greater than lives met before: a recording, or the
+/// word of a process whose wall clock was stepped back. Nothing in it may be acted on before its life is
+/// proven to be present, by an ack in it that answers a challenge (FreshnessChallenges).
+struct Unproven {
+    std::string from;
+    std::uint64_t life = 0, counter = 0;  // of the envelope
+    Payload payload;
+};
+
 class Codec {
 public:
     static constexpr std::uint8_t kVersion = 1;
@@ -46,22 +55,19 @@
     Codec(std::string key, std::string name, std::uint64_t life);
 
     Bytes seal(const Payload& payload);
-    // What it says, or why it is dropped. A message is taken once (the window of RFC 4303, 3.4.3, for each of
-    // a name's two latest lives).
-    std::variant<Payload, Rejection> open(std::span<const std::uint8_t> bytes, std::size_t longest);
+    /// What it says, or why it is dropped, or that its sender has to prove its life first. A message is taken
+    /// once (the window of RFC 4303, 3.4.3, for each of a name's two lives that count: KnownLives).
+    std::variant<Payload, Rejection, Unproven> open(std::span<const std::uint8_t> bytes, std::size_t longest);
+    /// `proof` is known to have been sealed just now: later messages of its life are taken.
+    void take_life(const Unproven& proof);
 
 private:
-    static constexpr std::size_t kWindow = 1024;
-    struct Window {
-        std::uint64_t highest = 0;
-        std::bitset<kWindow> seen;  // by counter modulo kWindow
-    };
     std::array<std::uint8_t, 16> mac(std::span<const std::uint8_t> body) const;
-    bool fresh(const std::string& name, std::uint64_t life, std::uint64_t counter);
+    KnownLives::Verdict judge(const std::string& name, std::uint64_t life, std::uint64_t counter);
 
     std::string key_, name_;
     std::uint64_t life_, counter_ = 0;
-    std::map<std::string, std::map<std::uint64_t, Window>> windows_;
+    std::map<std::string, KnownLives> known_;  // by name
 };
 
 }  // namespace mothring::cluster
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -6,6 +6,7 @@
 #include <algorithm>
 
 #include "cluster/codec.hpp"
+#include "cluster/freshness_challenges.hpp"
 #include "lab/fleet_sim.hpp"
 
 namespace mothring::cluster::test {
@@ -289,6 +290,124 @@
     EXPECT_EQ(rejected(sender.seal(sample())), Rejection::replayed);
 }
 
+/// A receiver that has met the lives 11 and 12 of n1, and a later process of that name whose life is smaller.
+struct SteppedBack : ::testing::Test {
+    SteppedBack() {
+        receiver.open(first.seal(sample()), Codec::kLongestDatagram);
+        receiver.open(second.seal(sample()), Codec::kLongestDatagram);
+    }
+    auto open(const Bytes& bytes) { return receiver.open(bytes, Codec::kLongestDatagram); }
+    bool takes(const Bytes& bytes) { return std::holds_alternative<Payload>(open(bytes)); }
+    bool leaves_unproven(const Bytes& bytes) { return std::holds_alternative<Unproven>(open(bytes)); }
+    bool rejects_as_replayed(const Bytes& bytes) {
+        const auto opened = open(bytes);
+        const auto* const why = std::get_if<Rejection>(&opened);
+        return why && *why == Rejection::replayed;
+    }
+    void prove(Codec& sender) { receiver.take_life(std::get<Unproven>(open(sender.seal(sample())))); }
+
+    Codec first{key, "n1", 11}, second{key, "n1", 12}, later{key, "n1", 5}, receiver{key, "n2", 1};
+};
+
+TEST_F(SteppedBack, AnUnknownSmallerLifeIsUnprovenHoweverOftenItIsHeard) {
+    const Bytes bytes = later.seal(sample());
+    for (int times = 0; times < 3; ++times) {
+        const auto opened = open(bytes);
+        const auto* const unproven = std::get_if<Unproven>(&opened);
+        ASSERT_TRUE(unproven);
+        EXPECT_EQ(unproven->from, "n1");
+        EXPECT_EQ(unproven->life, 5u);
+        EXPECT_EQ(unproven->counter, 1u);
+        EXPECT_EQ(std::get<Message>(unproven->payload).sequence, 77u);
+    }
+    EXPECT_TRUE(takes(second.seal(sample())));
+    EXPECT_TRUE(takes(first.seal(sample())));
+}
+
+TEST_F(SteppedBack, AProvenLifeIsTakenOnceEachFromTheProofOn) {
+    const Bytes before = later.seal(sample());
+    prove(later);
+    const Bytes after = later.seal(sample());
+    EXPECT_TRUE(takes(after));
+    EXPECT_TRUE(rejects_as_replayed(after));
+    EXPECT_TRUE(rejects_as_replayed(before));
+}
+
+TEST_F(SteppedBack, LivesMetBeforeAProofAreNotTakenAnewAfterIt) {
+    const std::vector<Bytes> recorded{first.seal(sample()), first.seal(sample()), first.seal(sample())};
+    for (const Bytes& bytes : recorded) EXPECT_TRUE(takes(bytes));
+    prove(later);  // takes the place of the first, whose window is forgotten
+    for (const Bytes& bytes : recorded) EXPECT_TRUE(rejects_as_replayed(bytes));
+    Codec latest(key, "n1", 4), greater(key, "n1", 20);
+    prove(latest);
+    EXPECT_TRUE(takes(latest.seal(sample())));
+    EXPECT_FALSE(takes(later.seal(sample())));
+    EXPECT_TRUE(takes(greater.seal(sample())));
+    for (const Bytes& bytes : recorded) EXPECT_TRUE(rejects_as_replayed(bytes));
+}
+
+TEST_F(SteppedBack, AProvenLifeThatLostItsPlaceMayProveItselfAgainWithoutItsOldMessages) {
+    prove(later);
+    const Bytes recorded = later.seal(sample());
+    EXPECT_TRUE(takes(recorded));
+    Codec recording(key, "n1", 13);  // of a life that the receiver never met
+    EXPECT_TRUE(takes(recording.seal(sample())));
+    EXPECT_TRUE(leaves_unproven(recorded));
+    prove(later);
+    EXPECT_TRUE(rejects_as_replayed(recorded));
+    EXPECT_TRUE(takes(later.seal(sample())));
+}
+
+TEST_F(SteppedBack, OnlyABoundedNumberOfReplacedLivesIsRememberedAndNoneIsTakenAgain) {
+    std::vector<Bytes> recorded;
+    for (std::uint64_t life = 100; life < 200; ++life) {
+        Codec sender(key, "n1", life);
+        recorded.push_back(sender.seal(sample()));
+        EXPECT_TRUE(takes(recorded.back()));
+    }
+    for (const Bytes& bytes : recorded) EXPECT_FALSE(takes(bytes));
+}
+
+/// Draws 1001, 1002 and so on, so that a test can tell the challenges apart.
+FreshnessChallenges counted_challenges(std::uint64_t& drawn) {
+    return FreshnessChallenges(kPeriod, [&drawn] { return 1000 + ++drawn; });
+}
+using Receiver = FreshnessChallenges::Receiver;
+
+TEST(FreshnessChallenges, AreAnsweredOnceByTheNameAndTheNumberInTime) {
+    std::uint64_t drawn = 0;
+    FreshnessChallenges challenges = counted_challenges(drawn);
+    ASSERT_EQ(challenges.issue(0, "n1", "127.0.0.1:1", Receiver::member), 1001u);
+    EXPECT_FALSE(challenges.answer(1, "n1", 1000));
+    EXPECT_FALSE(challenges.answer(1, "n1", 0));
+    EXPECT_FALSE(challenges.answer(1, "n2", 1001));
+    EXPECT_TRUE(challenges.answer(1, "n1", 1001));
+    EXPECT_FALSE(challenges.answer(1, "n1", 1001));
+    ASSERT_EQ(challenges.issue(kPeriod, "n1", "127.0.0.1:1", Receiver::member), 1002u);
+    EXPECT_FALSE(challenges.answer(2 * kPeriod - 1, "n1", 1001));  // a recording of the earlier answer
+    EXPECT_FALSE(challenges.answer(2 * kPeriod, "n1", 1002));      // too late
+}
+
+TEST(FreshnessChallenges, AreBoundedInNumberAndRateWhateverIsReplayed) {
+    std::uint64_t drawn = 0;
+    FreshnessChallenges challenges = counted_challenges(drawn);
+    constexpr int kFlood = 10000, kPeriods = 5;
+    for (int i = 0; i < kFlood; ++i) {
+        const Millis now = static_cast<Millis>(i) * kPeriods * kPeriod / kFlood;
+        challenges.issue(now, "n1", "127.0.0.1:1", Receiver::stranger);
+    }
+    EXPECT_EQ(drawn, static_cast<std::uint64_t>(kPeriods));  // to one address: one a period
+    drawn = 0;
+    const Millis later = 2 * kPeriods * kPeriod;
+    for (int i = 0; i < kFlood; ++i)
+        challenges.issue(later, "n1", "127.0.0.1:" + std::to_string(i), Receiver::stranger);
+    EXPECT_EQ(drawn, FreshnessChallenges::kMostToStrangers);
+    // Members are not kept from theirs by that.
+    for (int i = 0; i < kFlood; ++i)
+        challenges.issue(later, "n2", "127.0.0.2:" + std::to_string(i), Receiver::member);
+    EXPECT_EQ(drawn, FreshnessChallenges::kMostToStrangers + FreshnessChallenges::kMostToMembers);
+}
+
 RC_GTEST_PROP(Codec, DropsWhateverIsChangedOrCutAndNeverThrows, ()) {
     Codec sender(key, "n1", 1), receiver(key, "n2", 1);
     Bytes bytes = sender.seal(sample());
