--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -76,6 +76,7 @@
 
 void Membership::start(Millis now) {
     started_ = true;
+    started_at_ = now;
     // Spread over a period, so that members started together do not probe together.
     std::uniform_real_distribution<double> part(0, 1);
     prober_.begin_at(now + parameters_.period * part(random_));
@@ -191,7 +192,7 @@
     if (superseded_ || message.from == self_.name) {
         // Another process with this member's name: only what it claims of the name counts.
         for (const Claim& claim : message.claims)
-            if (claim.name == self_.name) apply_to_self(claim, effects);
+            if (claim.name == self_.name) apply_to_self(now, claim, effects);
         return;
     }
     for (const Claim& claim : message.claims) apply(now, claim, effects);
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -89,8 +89,9 @@
     void acknowledge(std::uint64_t sequence, Effects& effects);
     // Claims (membership_claims.cpp)
     void apply(Millis now, const Claim& claim, Effects& effects);
-    void apply_to_self(const Claim& claim, Effects& effects);
-    void contest_name(const Claim& claim, Effects& effects);
+    void apply_to_self(Millis now, const Claim& claim, Effects& effects);
+    void contest_name(Millis now, const Claim& claim, Effects& effects);
+    bool is_earlier_life(Millis now, const Claim& claim) const;
     void refute(const Claim& claim, Effects& effects);
     void add(Millis now, const Claim& claim, Effects& effects);
     void revive(Millis now, Member& member, const Claim& claim, Effects& effects);
@@ -109,6 +110,7 @@
     AntiEntropy anti_entropy_;
     std::uint64_t sequence_ = 0;  // of the last ping sent
     Millis next_accused_ping_ = 0;
+    Millis started_at_ = 0;  // the first tick
     bool started_ = false, left_ = false, superseded_ = false;
     bool joined_ = false;  // another's state has been merged
     Counters counters_;
--- a/src/cluster/membership_claims.cpp
+++ b/src/cluster/membership_claims.cpp
@@ -5,6 +5,13 @@
 
 namespace mothring::cluster {
 
+namespace {
+
+// Intervals between exchanges of whole states in which claims of an earlier life still come up.
+constexpr double kSettlingSyncs = 2;
+
+}  // namespace
+
 void Membership::merge(Millis now, const std::vector<Claim>& claims, const std::string& by,
                        Effects& effects) {
     for (Claim claim : claims) {
@@ -20,7 +27,7 @@
 
 void Membership::apply(Millis now, const Claim& claim, Effects& effects) {
     if (claim.name.empty()) return;
-    if (claim.name == self_.name) return apply_to_self(claim, effects);
+    if (claim.name == self_.name) return apply_to_self(now, claim, effects);
     Member* const member = table_.find(claim.name);
     if (!member) return add(now, claim, effects);
     const bool same_suspicion =
@@ -40,17 +47,17 @@
 
 // ---- This member
 
-void Membership::apply_to_self(const Claim& claim, Effects& effects) {
+void Membership::apply_to_self(Millis now, const Claim& claim, Effects& effects) {
     if (left_ || superseded_ || claim.incarnation < self_.incarnation) return;
     if (claim.state != State::alive) return refute(claim, effects);
-    if (claim.life != self_.life) contest_name(claim, effects);
+    if (claim.life != self_.life) contest_name(now, claim, effects);
 }
 
-// Another life has the name. Before this one has met anybody it is the later one; the same holds where both
-// came to the same incarnation, for the greater life.
-void Membership::contest_name(const Claim& claim, Effects& effects) {
-    const bool ours = !joined_ || (claim.incarnation == self_.incarnation && self_.life > claim.life);
-    if (ours) {
+// Another life has the name. An earlier one is over; the same holds where both came to the same incarnation,
+// for the lesser life.
+void Membership::contest_name(Millis now, const Claim& claim, Effects& effects) {
+    const bool wins_tie = claim.incarnation == self_.incarnation && self_.life > claim.life;
+    if (wins_tie || is_earlier_life(now, claim)) {
         self_.incarnation = claim.incarnation + 1;
         dissemination_.enqueue(self_);
         return;
@@ -60,6 +67,17 @@
     effects.changes.push_back({"superseded", self_.name, claim.incarnation, ""});
 }
 
+// Before this life has met anybody it is the later one. Afterwards others may still tell of an earlier one
+// that those met first knew nothing of, and whose incarnation or life is greater where the wall clock was
+// stepped back in between: this process holds the address of that one now. That is not so for ever, as one
+// advertised address may be handed on from process to process; so long after the start, whole states have
+// reached everybody.
+bool Membership::is_earlier_life(Millis now, const Claim& claim) const {
+    if (!joined_) return true;
+    const Millis settled_at = started_at_ + kSettlingSyncs * sync_periods() * parameters_.period;
+    return claim.udp == self_.udp && (!started_ || now < settled_at);
+}
+
 // Accused, or taken for an earlier life that died: alive, and later (SWIM 4.2).
 void Membership::refute(const Claim& claim, Effects& effects) {
     self_.incarnation = claim.incarnation + 1;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -163,6 +163,31 @@
     EXPECT_TRUE(silent.sends.empty());
 }
 
+/// A member whose clock was stepped back joins by one that knows nothing of its earlier life, and hears of
+/// that life from the others afterwards: as it holds the address now, that process is over.
+TEST(Claims, OfAGreaterLifeAtThisMembersOwnAddressDoNotSupersedeIt) {
+    Claim self = claim_about("me", State::alive, 5, "");
+    self.life = 1;
+    Claim earlier = self;
+    earlier.life = 2;
+    for (const std::uint64_t incarnation : {5, 9}) {
+        Membership me(self, parameters, 1);
+        Effects effects;
+        me.tick(1, effects);
+        me.merge(1, {claim_about("x", State::alive, 1, "")}, "x", effects);
+        earlier.incarnation = incarnation;
+        me.merge(2, {earlier}, "y", effects);
+        EXPECT_FALSE(me.superseded());
+        EXPECT_EQ(me.self().incarnation, incarnation + 1);
+        // Long after the start nobody has an earlier life to tell of: another process got the address.
+        Claim another = earlier;
+        another.incarnation = incarnation + 10;
+        another.life = 3;
+        me.merge(1000 * kPeriod, {another}, "y", effects);
+        EXPECT_TRUE(me.superseded());
+    }
+}
+
 TEST(Suspicion, LastsFromTheGreatestToTheLeastAsOthersConfirm) {
     for (const std::size_t members : {4, 8, 64, 1000}) {
         const Millis least = parameters.suspicion_timeout(members, 1000);
