--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -192,7 +192,7 @@
                                  [self = shared_from_this(), out, serializer](
                                      error_code failed, std::size_t) { self->wrote(failed, 0); });
         pipe_->on_more = [weak = weak_from_this()] {
-            if (const auto self = weak.lock()) self->pump();
+            if (const auto self = weak.lock()) self->guarded([&] { self->pump(); });
         };
     }
 
@@ -564,10 +564,11 @@
         writing_ = false;
         if (!owner_) return;
         if (failed) return close();
-        const auto self = shared_from_this();
-        const auto pipe = pipe_;
-        if (count > 0) pipe->take(count);
-        pump();
+        guarded([&] {
+            const auto pipe = pipe_;
+            if (count > 0) pipe->take(count);
+            pump();
+        });
     }
     // A reader may be slow, but not still.
     void progress() { close_at(Steady::now() + span(kStillReader)); }
@@ -599,7 +600,7 @@
         timer_.expires_at(when);
         timer_.async_wait([weak = weak_from_this(), when](error_code cancelled) {
             const auto self = weak.lock();
-            if (!cancelled && self && self->due_ == when) self->overdue();
+            if (!cancelled && self && self->due_ == when) self->guarded([&] { self->overdue(); });
         });
     }
     // Whoever has sent no whole request is ended in order, whoever does not read is not waited for.
--- /dev/null
+++ b/tests/front_failure_test.cpp
@@ -0,0 +1,107 @@
+// What fails within the front, for want of memory, costs one connection at most: its client sees the end of
+// it, and never waits in vain.
+#include <chrono>
+#include <new>
+#include <thread>
+
+#include "net_rig.hpp"
+#include "node/clock.hpp"
+#include "node/front.hpp"
+
+namespace mothring::node::test {
+namespace {
+
+using SteadyClock = std::chrono::steady_clock;
+
+/// From connecting on, within which the front wants a client's first request.
+constexpr Millis kFirstRequest = 2400;
+
+/// A front by itself. Who takes the requests has no memory for them once `no_memory` is set.
+struct FrontFailure : testing::Test {
+    asio::io_context io;
+    std::shared_ptr<Budget> budget = std::make_shared<Budget>(Budget{1 << 20});
+    std::vector<Front::Arrival> arrivals;
+    std::size_t gone = 0;
+    bool no_memory = false;
+    int thrown = 0;  // exceptions that reached the loop
+    Front front{io, any_port, 16, false, budget, callbacks()};
+
+    Front::Callbacks callbacks() {
+        Front::Callbacks made;
+        made.arrived = [this](Front::Arrival arrival) {
+            if (no_memory) throw std::bad_alloc();
+            arrivals.push_back(std::move(arrival));
+        };
+        made.whole = [](RequestId) {};
+        made.gone = [this](RequestId) { ++gone; };
+        made.left = [](RequestId, bool) {};
+        return made;
+    }
+    /// The loop goes on after an exception, as the program's does.
+    void until(const std::function<bool()>& reached) {
+        for (bool ended = false; !ended;) try {
+                run_until(io, reached);
+                ended = true;
+            } catch (const std::bad_alloc&) {
+                ++thrown;
+            }
+    }
+    std::shared_ptr<Pipe> stream_to_first(const std::string& body) {
+        auto pipe = std::make_shared<Pipe>(budget, body.size());
+        EXPECT_GE(pipe->room(), body.size());
+        body.copy(pipe->space(), body.size());
+        pipe->added(body.size());
+        front.stream(arrivals.at(0).id, Front::Head(http::status::ok, 11), pipe);
+        return pipe;
+    }
+    void expect_ended(const TestClient& client) {
+        until([&] { return client.ended; });
+        EXPECT_TRUE(client.ended);
+        EXPECT_EQ(thrown, 1);
+        EXPECT_EQ(gone, 1u);
+        EXPECT_EQ(front.clients(), 0u);
+    }
+};
+
+// The loop is held up, and the rest of a request comes right before the timer's handler, which reads it.
+TEST_F(FrontFailure, NoMemoryAsTheTimeOfARequestRunsOut_endsItsConnection) {
+    const std::string whole = request("listen", "id-1");
+    asio::steady_timer before_it(io, SteadyClock::now() + span(kFirstRequest));
+    TestClient client(io, front.address());
+    until([&] { return front.clients() == 1; });
+    const auto limit = SteadyClock::now() + span(kFirstRequest);
+    client.send(whole.substr(0, 40));
+    before_it.async_wait([&](error_code) { client.send(whole.substr(40)); });
+    until([&] { return SteadyClock::now() > limit - std::chrono::milliseconds(100); });
+    std::this_thread::sleep_until(limit + std::chrono::milliseconds(1));
+    no_memory = true;
+    expect_ended(client);
+}
+
+// The next request is here already, and is taken as the last byte of an answer has been written.
+TEST_F(FrontFailure, NoMemoryAfterAnAnswerIsWritten_endsItsConnection) {
+    TestClient client(io, front.address());
+    client.send(request("listen", "id-1") + request("listen", "id-2"));
+    until([&] { return arrivals.size() == 1; });
+    no_memory = true;
+    stream_to_first("served")->finish();
+    expect_ended(client);
+    EXPECT_EQ(client.answers.size(), 1u);
+}
+
+// The same, as the answer's end is told after its last byte has been written.
+TEST_F(FrontFailure, NoMemoryAtTheEndOfAnAnswer_endsItsConnection) {
+    TestClient client(io, front.address());
+    client.send(request("listen", "id-1") + request("listen", "id-2"));
+    until([&] { return arrivals.size() == 1; });
+    const auto pipe = stream_to_first("served");
+    until([&] { return pipe->unread().empty(); });
+    no_memory = true;
+    EXPECT_THROW(pipe->finish(), std::bad_alloc);
+    thrown = 1;
+    expect_ended(client);
+    EXPECT_EQ(client.answers.size(), 1u);
+}
+
+}  // namespace
+}  // namespace mothring::node::test
