--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -110,9 +110,7 @@
 
     // Nothing has come that we have not seen yet, but perhaps its end.
     bool quiet() {
-        char byte;
-        error_code error;
-        socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
+        const error_code error = peek();
         return error == asio::error::would_block || error == asio::error::eof;
     }
     // Its end has come, be there bytes before it or not: a look at the bytes alone would not see it.
@@ -231,6 +229,13 @@
     // A drain ends it with the answer to the last request that was read. After the last call nothing more is.
     bool stays() { return keep_ && !receiving() && (!owner_->draining_ || more_came()); }
     bool more_came() { return buffer_.size() > 0 || (!called_ && !quiet()); }
+    // What reading one byte would give; it stays where it is.
+    error_code peek() {
+        char byte;
+        return repeated_while_interrupted([&](error_code& error) {
+            socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
+        });
+    }
     // Whether a request's body is yet to come.
     bool receiving() const { return body_ && !body_->whole(); }
 
@@ -250,9 +255,7 @@
         if (phase_ == Phase::finishing) return;  // discards by itself
         if (phase_ == Phase::idle || phase_ == Phase::head || receiving()) return feed();
         // The next request, early, stays where it is until this one has its answer.
-        char byte;
-        error_code error;
-        socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
+        const error_code error = peek();
         if (is_to_be_repeated(error))
             wait_readable();
         else if (!error)
@@ -287,13 +290,15 @@
     // Whether anything was read.
     bool receive() {
         if (called_) return turn_away(), false;
-        error_code error;
         const std::size_t space = buffer_.max_size() - buffer_.size();
         const std::size_t size = std::min(space, receiving() ? kPiece : kHeadPiece);
-        const std::size_t count = socket_.read_some(buffer_.prepare(size), error);
+        const auto room = buffer_.prepare(size);
+        std::size_t count = 0;
+        const error_code error =
+            repeated_while_interrupted([&](error_code& failed) { count = socket_.read_some(room, failed); });
         if (is_to_be_repeated(error)) {
             if (phase_ == Phase::idle) buffer_.shrink_to_fit();
-            unread_since_.reset();
+            if (!is_interrupted(error)) unread_since_.reset();  // else there may be bytes still
             wait_readable();
             return false;
         }
--- a/src/node/socket_errors.hpp
+++ b/src/node/socket_errors.hpp
@@ -9,10 +9,30 @@
 
 namespace mothring::node {
 
+/// Whether a signal came in between: the call has done nothing, and says nothing of what there is to do.
+inline bool is_interrupted(boost::system::error_code error) {
+    return error == boost::asio::error::interrupted;
+}
+
 /// Whether nothing is wrong: there is nothing to read yet, or a signal came in between. Wait, and call again.
 inline bool is_to_be_repeated(boost::system::error_code error) {
     return error == boost::asio::error::would_block || error == boost::asio::error::try_again ||
-           error == boost::asio::error::interrupted;
+           is_interrupted(error);
+}
+
+/// A signal may interrupt a call that does not wait, but not for ever: so often it is made at most.
+inline constexpr int kInterruptedTries = 16;
+
+/// Makes a call on a non-blocking socket, `call(error)`, anew while signals interrupt it, and returns its
+/// error: `interrupted` only where that came kInterruptedTries times in a row.
+template <class Call>
+boost::system::error_code repeated_while_interrupted(Call call) {
+    boost::system::error_code error;
+    for (int tries = 0; tries < kInterruptedTries; ++tries) {
+        call(error);
+        if (!is_interrupted(error)) break;
+    }
+    return error;
 }
 
 /// Whether this machine has no descriptor or no memory for it now.
@@ -69,8 +89,7 @@
 /// Those of the events that hold for a descriptor now, without waiting; POLLHUP and POLLERR are always among
 /// those asked for.
 inline short events_now(int descriptor, short events) {
-    constexpr int kTries = 16;  // a signal may come in between, but not for ever
-    for (int tries = 0; tries < kTries; ++tries) {
+    for (int tries = 0; tries < kInterruptedTries; ++tries) {
         pollfd entry{descriptor, events, 0};
         if (::poll(&entry, 1, 0) >= 0) return entry.revents;
         if (errno != EINTR) break;
--- a/tests/front_failure_test.cpp
+++ b/tests/front_failure_test.cpp
@@ -1,5 +1,6 @@
 // What fails within the front, for want of memory, costs one connection at most: its client sees the end of
-// it, and never waits in vain.
+// it, and never waits in vain. A call that a signal interrupts costs nothing.
+#include <cerrno>
 #include <chrono>
 #include <new>
 #include <thread>
@@ -7,10 +8,14 @@
 #include "net_rig.hpp"
 #include "node/clock.hpp"
 #include "node/front.hpp"
+#include "system_call_faults.hpp"
 
 namespace mothring::node::test {
 namespace {
 
+using mothring::test::Ports;
+using mothring::test::SystemCall;
+using mothring::test::SystemCallFaults;
 using SteadyClock = std::chrono::steady_clock;
 
 /// From connecting on, within which the front wants a client's first request.
@@ -19,6 +24,7 @@
 /// A front by itself. Who takes the requests has no memory for them once `no_memory` is set.
 struct FrontFailure : testing::Test {
     asio::io_context io;
+    SystemCallFaults faults;
     std::shared_ptr<Budget> budget = std::make_shared<Budget>(Budget{1 << 20});
     std::vector<Front::Arrival> arrivals;
     std::size_t gone = 0;
@@ -103,5 +109,29 @@
     EXPECT_EQ(client.answers.size(), 1u);
 }
 
+// A request that came early has stood unread while the one before it waited: that counts, whether a signal
+// interrupts the reads of it a few times or more often than they are repeated at once.
+TEST_F(FrontFailure, InterruptedReadOfARequestThatStoodUnread_itsTimeStillCounts) {
+    constexpr Millis kStood = 100;
+    constexpr int kTimeout = 5000;
+    const Ports at_front{front.address().port(), 0};
+    for (const int times : {1, 2, 3, 100}) {
+        arrivals.clear();
+        TestClient client(io, front.address());
+        client.send(request("listen", "id-1", kTimeout));
+        until([&] { return arrivals.size() == 1; });
+        faults.fail(SystemCall::receive, 0, 0, at_front);
+        client.send(request("listen", "id-2", kTimeout));
+        until([&] { return faults.made(SystemCall::receive) > 0; });  // the front's look at it
+        const auto stood = SteadyClock::now() + span(kStood);
+        until([&] { return SteadyClock::now() > stood; });
+        faults.fail(SystemCall::receive, EINTR, times, at_front);
+        front.answer(arrivals[0].id, Front::Answer(http::status::ok, 11));
+        until([&] { return arrivals.size() == 2; });
+        EXPECT_EQ(faults.failed(SystemCall::receive), times);
+        EXPECT_LE(arrivals.back().time_left, kTimeout - kStood) << times;
+    }
+}
+
 }  // namespace
 }  // namespace mothring::node::test
