--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -551,7 +551,8 @@
             else
                 asio::async_write(socket_, http::make_chunk(out), done);
         } else if (pipe_->broken()) {
-            abort();
+            // The client sees that it is not whole: short of its length, or without its last chunk, or reset.
+            close();
         } else if (pipe_->whole() && !pipe_->length && !until_close_ && !std::exchange(ending_, true)) {
             writing_ = true;
             asio::async_write(
@@ -577,8 +578,6 @@
     }
     // A reader may be slow, but not still.
     void progress() { close_at(Steady::now() + span(kStillReader)); }
-    // The client must see that it is not whole: short of its length, or without its last chunk, or reset.
-    void abort() { close(); }
     // Where its end is the answer's, that of the process in its midst must not be taken for it either.
     void reset_at_end(bool reset) {
         error_code ignored;
