--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -112,9 +112,7 @@
 
     // Nothing has come that we have not seen yet, but perhaps its end.
     bool quiet() {
-        char byte;
-        error_code error;
-        socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
+        const error_code error = peek();
         return error == asio::error::would_block || error == asio::error::eof;
     }
     // Its end has come, be there bytes before it or not: a look at the bytes alone would not see it.
@@ -190,7 +188,7 @@
         progress();
         write_out(write_step(*out, Part::header), [this, out](bool whole) { wrote(whole, 0); });
         pipe_->on_more = [weak = weak_from_this()] {
-            if (const auto self = weak.lock()) self->pump();
+            if (const auto self = weak.lock()) self->guarded([&] { self->pump(); });
         };
     }
 
@@ -229,6 +227,13 @@
     // A drain ends it with the answer to the last request that was read. After the last call nothing more is.
     bool stays() { return keep_ && !receiving() && (!owner_->draining_ || more_came()); }
     bool more_came() { return buffer_.size() > 0 || (!called_ && !quiet()); }
+    // What reading one byte would give; it stays where it is.
+    error_code peek() {
+        char byte;
+        return repeated_while_interrupted([&](error_code& error) {
+            socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
+        });
+    }
     // Whether a request's body is yet to come.
     bool receiving() const { return body_ && !body_->whole(); }
 
@@ -248,9 +253,7 @@
         if (phase_ == Phase::finishing) return;  // discards by itself
         if (phase_ == Phase::idle || phase_ == Phase::head || receiving()) return feed();
         // The next request, early, stays where it is until this one has its answer.
-        char byte;
-        error_code error;
-        socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
+        const error_code error = peek();
         if (is_to_be_repeated(error))
             wait_readable();
         else if (!error)
@@ -285,13 +288,15 @@
     // Whether anything was read.
     bool receive() {
         if (called_) return turn_away(), false;
-        error_code error;
         const std::size_t space = buffer_.max_size() - buffer_.size();
         const std::size_t size = std::min(space, receiving() ? kPiece : kHeadPiece);
-        const std::size_t count = socket_.read_some(buffer_.prepare(size), error);
+        const auto room = buffer_.prepare(size);
+        std::size_t count = 0;
+        const error_code error =
+            repeated_while_interrupted([&](error_code& failed) { count = socket_.read_some(room, failed); });
         if (is_to_be_repeated(error)) {
             if (phase_ == Phase::idle) buffer_.shrink_to_fit();
-            unread_since_.reset();
+            if (!is_interrupted(error)) unread_since_.reset();  // else there may be bytes still
             wait_readable();
             return false;
         }
@@ -563,7 +568,8 @@
             else
                 write_out(write_step(http::make_chunk(out)), then);
         } else if (pipe_->broken()) {
-            abort();
+            // The client sees that it is not whole: short of its length, or without its last chunk, or reset.
+            close();
         } else if (pipe_->whole() && !pipe_->length && !until_close_ && !std::exchange(ending_, true)) {
             writing_ = true;
             write_out(write_step(http::make_chunk_last()), [this](bool whole) { wrote(whole, 0); });
@@ -578,15 +584,12 @@
     void wrote(bool whole, std::size_t count) {
         writing_ = false;
         if (!whole) return close();
-        const auto self = shared_from_this();
         const auto pipe = pipe_;
         if (count > 0) pipe->take(count);
         pump();
     }
     // A reader may be slow, but not still.
     void progress() { close_at(Steady::now() + span(kStillReader)); }
-    // The client must see that it is not whole: short of its length, or without its last chunk, or reset.
-    void abort() { close(); }
     // Where its end is the answer's, that of the process in its midst must not be taken for it either.
     void reset_at_end(bool reset) {
         error_code ignored;
@@ -613,7 +616,7 @@
         timer_.expires_at(when);
         timer_.async_wait([weak = weak_from_this(), when](error_code cancelled) {
             const auto self = weak.lock();
-            if (!cancelled && self && self->due_ == when) self->overdue();
+            if (!cancelled && self && self->due_ == when) self->guarded([&] { self->overdue(); });
         });
     }
     // Whoever has sent no whole request is ended in order, whoever does not read is not waited for.
