--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -10,6 +10,8 @@
 #include <filesystem>
 #include <limits>
 #include <new>
+#include <set>
+#include <variant>
 
 #include "net_rig.hpp"
 #include "rig.hpp"
@@ -86,6 +88,19 @@
             serve_one();
         }
     }
+    // The first `share` of the servers start anew, cold, all at once.
+    void restart(double share) {
+        ServerList restarted{ListKind::incremental, {}};
+        for (std::size_t i = 0; i < static_cast<std::size_t>(share * static_cast<double>(servers_.size()));
+             ++i) {
+            servers_[i].online_since = now_;
+            restarted.servers.push_back(servers_[i]);
+        }
+        give(restarted);
+    }
+    // How many servers have had requests: as many connections.
+    std::size_t asked_servers() const { return asked_.size(); }
+    void forget_asked_servers() { asked_.clear(); }
 
 private:
     static constexpr std::size_t kStride = 7;
@@ -97,6 +112,8 @@
     void give(const Event& event) {
         actions_.clear();
         balancer_.handle(now_, event, actions_);
+        for (const Action& action : actions_)
+            if (const Send* send = std::get_if<Send>(&action)) asked_.insert(send->server);
     }
     void serve_one() {
         constexpr Millis kAnswer = 20;
@@ -112,6 +129,7 @@
     std::size_t changes_ = 0;
     Millis now_ = 1e6;
     RequestId request_ = 0;
+    std::set<ServerId> asked_;
 };
 
 std::size_t held_by_policy(ServerId count) {
@@ -166,6 +184,22 @@
     EXPECT_LT(least_large, kSameWork * least_usual);
 }
 
+// The terms: connections made to scan servers may grow to 2.5 times as many and 40, on the same day.
+TEST(Scale, ARestartOfHalfOfALargeFleetMakesFewConnections) {
+    constexpr double kTimes = 2.5, kMore = 40, kHalf = 0.5;
+    const auto asked_in = [](ServerId count) {
+        LargeFleet fleet(count);
+        fleet.forget_asked_servers();
+        fleet.restart(kHalf);
+        fleet.serve(4 * kRequests);
+        return static_cast<double>(fleet.asked_servers());
+    };
+    const double usual = asked_in(kUsual), large = asked_in(kMost);
+    RecordProperty("usual", std::to_string(usual));
+    RecordProperty("large", std::to_string(large));
+    EXPECT_LE(large, kTimes * usual + kMore);
+}
+
 TEST(Scale, AChangeOfOneServerAllocatesNoMoreInALargeFleet) {
     LargeFleet usual(kUsual), large(kMost);
     const auto asked_by = [](LargeFleet& fleet) {
