--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -10,6 +10,8 @@
 #include <filesystem>
 #include <limits>
 #include <new>
+#include <set>
+#include <variant>
 
 #include "net_rig.hpp"
 #include "rig.hpp"
@@ -54,7 +56,7 @@
 constexpr double kBytesPerServer = 4000;
 // The policy keeps a third of that; the rest is for names, addresses, connections and lists in passing.
 constexpr double kPolicyBytesPerServer = kBytesPerServer / 3;
-constexpr int kChanges = 100;
+constexpr int kChanges = 100, kRequests = 100;
 constexpr double kSameWork = 4;  // times as much, with what the machine does besides
 
 double slope(std::size_t at_usual, std::size_t at_most) {
@@ -78,6 +80,27 @@
             give(change_);
         }
     }
+    // One request after another, each so long after the last that what is known of the fleet is renewed.
+    void serve(int count) {
+        constexpr Millis kGap = 150;
+        for (int i = 0; i < count; ++i) {
+            now_ += kGap;
+            serve_one();
+        }
+    }
+    // The first `share` of the servers start anew, cold, all at once.
+    void restart(double share) {
+        ServerList restarted{ListKind::incremental, {}};
+        for (std::size_t i = 0; i < static_cast<std::size_t>(share * static_cast<double>(servers_.size()));
+             ++i) {
+            servers_[i].online_since = now_;
+            restarted.servers.push_back(servers_[i]);
+        }
+        give(restarted);
+    }
+    // How many servers have had requests: as many connections.
+    std::size_t asked_servers() const { return asked_.size(); }
+    void forget_asked_servers() { asked_.clear(); }
 
 private:
     static constexpr std::size_t kStride = 7;
@@ -89,6 +112,8 @@
     void give(const Event& event) {
         actions_.clear();
         balancer_.handle(now_, event, actions_);
+        for (const Action& action : actions_)
+            if (const Send* send = std::get_if<Send>(&action)) asked_.insert(send->server);
     }
     void serve_one() {
         constexpr Millis kAnswer = 20;
@@ -104,6 +129,7 @@
     std::size_t changes_ = 0;
     Millis now_ = 1e6;
     RequestId request_ = 0;
+    std::set<ServerId> asked_;
 };
 
 std::size_t held_by_policy(ServerId count) {
@@ -141,6 +167,39 @@
     EXPECT_LT(least_large, kSameWork * least_usual);
 }
 
+// Passes over all that are listed, many times a second, would cost more than the requests themselves.
+TEST(Scale, ARequestCostsTheSameInALargeFleet) {
+    LargeFleet usual(kUsual), large(kMost);
+    const auto time_of = [](LargeFleet& fleet) {
+        const double before = processor_time();
+        fleet.serve(kRequests);
+        return processor_time() - before;
+    };
+    double least_usual = std::numeric_limits<double>::infinity(), least_large = least_usual;
+    for (int i = 0; i < 20; ++i) {  // the least: others use the machine too
+        least_usual = std::min(least_usual, time_of(usual));
+        least_large = std::min(least_large, time_of(large));
+    }
+    RecordProperty("ratio", std::to_string(least_large / least_usual));
+    EXPECT_LT(least_large, kSameWork * least_usual);
+}
+
+// The terms: connections made to scan servers may grow to 2.5 times as many and 40, on the same day.
+TEST(Scale, ARestartOfHalfOfALargeFleetMakesFewConnections) {
+    constexpr double kTimes = 2.5, kMore = 40, kHalf = 0.5;
+    const auto asked_in = [](ServerId count) {
+        LargeFleet fleet(count);
+        fleet.forget_asked_servers();
+        fleet.restart(kHalf);
+        fleet.serve(4 * kRequests);
+        return static_cast<double>(fleet.asked_servers());
+    };
+    const double usual = asked_in(kUsual), large = asked_in(kMost);
+    RecordProperty("usual", std::to_string(usual));
+    RecordProperty("large", std::to_string(large));
+    EXPECT_LE(large, kTimes * usual + kMore);
+}
+
 TEST(Scale, AChangeOfOneServerAllocatesNoMoreInALargeFleet) {
     LargeFleet usual(kUsual), large(kMost);
     const auto asked_by = [](LargeFleet& fleet) {
