--- a/src/node/message_writer.hpp
+++ b/src/node/message_writer.hpp
@@ -32,10 +32,10 @@
 enum class Part { whole, header };
 
 /// Writes that part of a message, which has to stay until it has been written.
-template <bool isRequest, class Body, class Fields>
-WriteStep write_step(boost::beast::http::message<isRequest, Body, Fields>& message, Part part) {
+template <bool IsRequest, class Body, class Fields>
+WriteStep write_step(boost::beast::http::message<IsRequest, Body, Fields>& message, Part part) {
     namespace http = boost::beast::http;
-    const auto serializer = std::make_shared<http::serializer<isRequest, Body, Fields>>(message);
+    const auto serializer = std::make_shared<http::serializer<IsRequest, Body, Fields>>(message);
     serializer->split(part == Part::header);
     return [serializer, part](Tcp::socket& socket, boost::system::error_code& failed) {
         http::write_some(socket, *serializer, failed);
