--- a/src/node/log.cpp
+++ b/src/node/log.cpp
@@ -1,7 +1,6 @@
 #include "node/log.hpp"
 
 #include <fcntl.h>
-#include <poll.h>
 #include <spdlog/logger.h>
 #include <spdlog/pattern_formatter.h>
 #include <spdlog/sinks/base_sink.h>
@@ -16,6 +15,8 @@
 #include <mutex>
 #include <optional>
 
+#include "node/socket_errors.hpp"
+
 namespace mothring::node {
 
 namespace {
@@ -62,8 +63,7 @@
         if (way_ == Way::socket)
             return ::send(STDERR_FILENO, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
         if (way_ == Way::file) return ::write(STDERR_FILENO, bytes.data(), bytes.size());
-        pollfd entry{STDERR_FILENO, POLLOUT, 0};
-        if (::poll(&entry, 1, 0) != 1 || (entry.revents & POLLOUT) == 0) return -1;
+        if ((events_now(STDERR_FILENO, POLLOUT) & POLLOUT) == 0) return -1;
         return ::write(STDERR_FILENO, bytes.data(), std::min<std::size_t>(bytes.size(), PIPE_BUF));
     }
 
