--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -549,5 +549,48 @@
     EXPECT_EQ(status_of(child), 0);
 }
 
+// One new configuration after another, every third one written by half when it is told of, while requests go
+// on: each has its answer, the last whole one counts, and no descriptor is left behind.
+TEST_F(Program, ManyNewConfigurationsInARowCostNoRequestAndTheLastOneCounts) {
+    constexpr int kConfigurations = 99;
+    asio::io_context io;
+    ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK", "served")}; });
+    ScriptedServer first(io, [](const auto&) { return Reply{}; }), second(io, first.script);
+    const Tcp::endpoint listen = free_address();
+    const auto config = [&](const ScriptedServer& discovery) {
+        return config_json(discovery.address(), list_json(1, true, {{"s-a", server.address()}}), "1024",
+                           "127.0.0.1:" + std::to_string(listen.port()));
+    };
+    const pid_t child = start(config(first));
+    run_until(io, [&] { return first.requests.size() == 1; });
+    TestClient client(io, listen);
+    std::size_t answers = 0;
+    const auto ask = [&] {
+        client.send(request("listen", "id-" + std::to_string(++answers)));
+        run_until(io, [&] { return client.answers.size() == answers || client.ended; });
+        ASSERT_EQ(client.answers.size(), answers);
+        EXPECT_EQ(client.answers.back().result_int(), 200u);
+    };
+    const auto open_to = [](const ScriptedServer& s) { return s.connections.size() - s.ended(); };
+    const auto other_descriptors = [&] {
+        const std::filesystem::directory_iterator all("/proc/" + std::to_string(child) + "/fd"), end;
+        return static_cast<std::size_t>(std::distance(all, end)) - open_to(server);
+    };
+    ASSERT_NO_FATAL_FAILURE(ask());
+    const std::size_t before = other_descriptors();
+    for (int i = 0; i < kConfigurations; ++i) {
+        const std::string text = config(i % 2 == 0 ? second : first);
+        const bool half = i % 3 == 1;
+        std::ofstream(folder / "config.json") << (half ? text.substr(0, text.size() / 2) : text);
+        ::kill(child, SIGHUP);
+        ASSERT_NO_FATAL_FAILURE(ask());
+    }
+    run_until(io, [&] {
+        return open_to(second) == 1 && open_to(first) == 0 && other_descriptors() == before;
+    });
+    ::kill(child, SIGTERM);
+    EXPECT_EQ(status_of(child), 0);
+}
+
 }  // namespace
 }  // namespace mothring::node::test
