--- a/src/node/operator.cpp
+++ b/src/node/operator.cpp
@@ -117,6 +117,7 @@
     : io_(io), acceptor_(io, listen, true), callbacks_(std::move(callbacks)), timer_(io) {
     // Else Asio waits for the next connection where one has been aborted.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
+    acceptor_.non_blocking(true);
     acceptor_.listen(asio::socket_base::max_listen_connections);
     accept();
 }
@@ -126,20 +127,39 @@
 }
 
 void OperatorListener::accept() {
-    acceptor_.async_accept([this](error_code failed, Tcp::socket socket) {
-        if (failed == asio::error::operation_aborted) return;
-        if (!failed) {
-            accept_pace_.succeeded();
-            make_room();
-            calls_.push_back(std::make_shared<Call>(*this, std::move(socket)));
-            CallPtr(calls_.back())->begin();
-            return accept();
-        }
-        if (!accept_pace_.pauses_after(failed)) return accept();
-        timer_.expires_after(span(kAcceptAgain));
-        timer_.async_wait([this](error_code cancelled) {
-            if (!cancelled) accept();
-        });
+    acceptor_.async_wait(Tcp::acceptor::wait_read, [this](error_code failed) {
+        if (failed != asio::error::operation_aborted) accept_waiting();
+    });
+}
+
+// The next one is accepted whatever this one leads to.
+void OperatorListener::accept_waiting() {
+    try {
+        Tcp::socket socket(io_);
+        error_code failed;
+        acceptor_.accept(socket, failed);
+        if (!failed)
+            accepted(std::move(socket));
+        else if (!is_to_be_repeated(failed) && accept_pace_.pauses_after(failed))
+            return accept_after_pause();
+        accept();
+    } catch (...) {  // no memory, say
+        accept_after_pause();
+        throw;
+    }
+}
+
+void OperatorListener::accepted(Tcp::socket socket) {
+    accept_pace_.succeeded();
+    make_room();
+    calls_.push_back(std::make_shared<Call>(*this, std::move(socket)));
+    CallPtr(calls_.back())->begin();
+}
+
+void OperatorListener::accept_after_pause() {
+    timer_.expires_after(span(kAcceptAgain));
+    timer_.async_wait([this](error_code cancelled) {
+        if (!cancelled) accept();
     });
 }
 
--- a/src/node/operator.hpp
+++ b/src/node/operator.hpp
@@ -36,6 +36,9 @@
     using CallPtr = std::shared_ptr<Call>;
 
     void accept();
+    void accept_waiting();
+    void accepted(Tcp::socket socket);
+    void accept_after_pause();
     void make_room();
 
     boost::asio::io_context& io_;
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -40,19 +40,34 @@
                                    if (failed == boost::asio::error::operation_aborted) return;
                                    if (failed) return receive_after(failed);
                                    pace_.succeeded();
-                                   const auto from = std::find(peers_.begin(), peers_.end(), sender_);
-                                   if (size > kLongest || from == peers_.end())
-                                       stray_.log(spdlog::level::warn, "peer.stray_datagram",
-                                                  {{"bytes", size}, {"from", sender_.address().to_string()}});
-                                   else
-                                       received_(static_cast<std::uint32_t>(from - peers_.begin()),
-                                                 {buffer_.begin(), buffer_.begin() + size});
-                                   receive();
+                                   take(size);
                                });
 }
 
+// The next one is received whatever this one leads to.
+void Peers::take(std::size_t size) {
+    try {
+        hand_on(size);
+        receive();
+    } catch (...) {  // no memory, say
+        receive_after_pause();
+        throw;
+    }
+}
+
+void Peers::hand_on(std::size_t size) {
+    const auto from = std::find(peers_.begin(), peers_.end(), sender_);
+    if (size > kLongest || from == peers_.end())
+        return stray_.log(spdlog::level::warn, "peer.stray_datagram",
+                          {{"bytes", size}, {"from", sender_.address().to_string()}});
+    received_(static_cast<std::uint32_t>(from - peers_.begin()), {buffer_.begin(), buffer_.begin() + size});
+}
+
 void Peers::receive_after(error_code failed) {
-    if (!pace_.pauses_after(failed)) return receive();
+    pace_.pauses_after(failed) ? receive_after_pause() : receive();
+}
+
+void Peers::receive_after_pause() {
     again_.expires_after(span(kReceiveAgain));
     again_.async_wait([this](error_code cancelled) {
         if (!cancelled) receive();
--- a/src/node/peers.hpp
+++ b/src/node/peers.hpp
@@ -30,7 +30,10 @@
 
 private:
     void receive();
+    void take(std::size_t size);
+    void hand_on(std::size_t size);
     void receive_after(boost::system::error_code failed);
+    void receive_after_pause();
 
     Udp::socket socket_;
     boost::asio::steady_timer again_;  // after a pause
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -396,5 +396,28 @@
     }
 }
 
+// The same of operators: the first call may end with no answer.
+TEST_F(NoMemory, AnOperatorsCallIsAnsweredAfterOneThatFailed) {
+    constexpr long kSteps = 40;  // more than taking a call needs
+    const std::string call = "GET /ready HTTP/1.1\r\nHost: operator\r\n\r\n";
+    for (long nth = 0; nth < kSteps; ++nth) {
+        Config config = this->config();
+        config.operators = any_port;
+        SidecarThread sidecar(std::move(config));
+        const Tcp::endpoint address = *sidecar.ask([](Sidecar& s) { return s.operator_address(); });
+        sidecar.settle();
+        sidecar.ask([&](Sidecar&) { allocations_left = nth; });
+        TestClient first(io, address);
+        first.send(call);
+        sidecar.settle();
+        sidecar.ask([](Sidecar&) { allocations_left = -1; });
+        TestClient next(io, address);
+        next.send(call);
+        const auto by = SteadyClock::now() + kSlack;
+        until([&] { return !next.answers.empty() || SteadyClock::now() > by; });
+        EXPECT_EQ(next.answers.size(), 1u) << nth;
+    }
+}
+
 }  // namespace
 }  // namespace mothring::node::test
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -486,6 +486,25 @@
 
 // ---- Datagrams --------------------------------------------------------------------------------------------
 
+// Whoever is told of a datagram has no memory for it: that one is lost, as any may be.
+TEST_F(SystemCalls, NoMemoryForAPeersDatagram_takesTheNext) {
+    const Udp::endpoint anywhere(asio::ip::address_v4::loopback(), 0);
+    Udp::socket peer(io, anywhere);
+    bool no_memory = true;
+    std::size_t received = 0;
+    Peers peers(io, anywhere, {peer.local_endpoint()}, std::nullopt,
+                [&](std::uint32_t, const std::vector<std::uint8_t>&) {
+                    if (no_memory) throw std::bad_alloc();
+                    ++received;
+                });
+    const std::array<std::uint8_t, 3> bytes{1, 2, 3};
+    peer.send_to(asio::buffer(bytes), peers.address());
+    EXPECT_THROW(until([] { return false; }), std::bad_alloc);
+    no_memory = false;
+    peer.send_to(asio::buffer(bytes), peers.address());
+    until([&] { return received == 1; });
+}
+
 TEST_F(SystemCalls, ReceivingFromPeersFailingForLong_pauses) {
     const Udp::endpoint anywhere(asio::ip::address_v4::loopback(), 0);
     Udp::socket peer(io, anywhere);
