--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -585,9 +585,8 @@
         ::kill(child, SIGHUP);
         ASSERT_NO_FATAL_FAILURE(ask());
     }
-    run_until(io, [&] {
-        return open_to(second) == 1 && open_to(first) == 0 && other_descriptors() == before;
-    });
+    run_until(io,
+              [&] { return open_to(second) == 1 && open_to(first) == 0 && other_descriptors() == before; });
     ::kill(child, SIGTERM);
     EXPECT_EQ(status_of(child), 0);
 }
