--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -694,20 +694,24 @@
 // Asio's own accept would lose its handler, and all connections after it, where there is no memory for one.
 void Front::accept_waiting() {
     for (int turns = 0; turns < kTurns && acceptor_.is_open() && make_room(); ++turns) {
-        Tcp::socket socket(io_);
-        error_code failed;
-        acceptor_.accept(socket, failed);
+        const error_code failed = accept_one();
         if (is_to_be_repeated(failed)) break;
-        if (!failed) {
-            accept_pace_.succeeded();
-            accepted(std::move(socket));
-        } else if (accept_pace_.pauses_after(failed)) {
-            return accept_after_pause();
-        }
+        if (failed && accept_pace_.pauses_after(failed)) return accept_after_pause();
     }
     accept();
 }
 
+// Without waiting: `would_block` where there is none.
+error_code Front::accept_one() {
+    Tcp::socket socket(io_);
+    error_code failed;
+    acceptor_.accept(socket, failed);
+    if (failed) return failed;
+    accept_pace_.succeeded();
+    accepted(std::move(socket));
+    return {};
+}
+
 void Front::accept_after_pause() {
     timer_.expires_after(span(kAcceptPause));
     timer_.async_wait([this](error_code cancelled) {
@@ -815,14 +819,9 @@
 // idle after that is ended.
 void Front::stop_accepting() {
     for (error_code failed; failed != asio::error::would_block;) {
-        Tcp::socket socket(io_);
-        acceptor_.accept(socket, failed);
-        if (!failed) {
-            accept_pace_.succeeded();
-            accepted(std::move(socket));
-        } else if (failed != asio::error::would_block && accept_pace_.pauses_after(failed)) {
+        failed = accept_one();
+        if (failed && failed != asio::error::would_block && accept_pace_.pauses_after(failed))
             return drain(kAcceptPause);
-        }
     }
     error_code ignored;
     acceptor_.close(ignored);
--- a/src/node/front.hpp
+++ b/src/node/front.hpp
@@ -77,6 +77,7 @@
     using ClientPtr = std::shared_ptr<Client>;
 
     void accept_waiting();
+    boost::system::error_code accept_one();
     void accept_after_pause();
     void accepted(Tcp::socket socket);
     void stop_accepting();
