--- a/src/node/hot_restart_lock.cpp
+++ b/src/node/hot_restart_lock.cpp
@@ -8,6 +8,8 @@
 #include <system_error>
 #include <utility>
 
+#include "node/interrupted_calls.hpp"
+
 namespace mothring::node {
 
 namespace {
@@ -30,16 +32,6 @@
     return range;
 }
 
-template <class Call>
-int uninterrupted(Call call) {
-    int result = -1;
-    for (int tries = 0; tries < kMostInterruptions; ++tries) {
-        result = call();
-        if (result >= 0 || errno != EINTR) break;
-    }
-    return result;
-}
-
 }  // namespace
 
 int LockCalls::open(const char* path, int flags, mode_t mode) { return ::open(path, flags, mode); }
@@ -105,14 +97,16 @@
 
 bool HotRestartLock::holds_file_at_path() {
     struct stat status {};
-    if (uninterrupted([&] { return calls_.status(path_.c_str(), status); }) != 0) return failed(errno);
+    if (uninterrupted(kMostInterruptions, [&] { return calls_.status(path_.c_str(), status); }) != 0)
+        return failed(errno);
     return held_.is(status) || failed(ESTALE);
 }
 
 // Opens the file at the path and locks a byte of it. What was held before stays open beside it.
 bool HotRestartLock::take() {
     const int flags = O_RDWR | O_CREAT | O_CLOEXEC | O_NOCTTY;
-    const int file = uninterrupted([&] { return calls_.open(path_.c_str(), flags, kOwnerOnly); });
+    const int file =
+        uninterrupted(kMostInterruptions, [&] { return calls_.open(path_.c_str(), flags, kOwnerOnly); });
     if (file < 0) return failed(errno);
     struct stat status {};
     if (calls_.status(file, status) != 0) {
@@ -143,7 +137,8 @@
 bool HotRestartLock::lock_a_byte(int file) {
     for (off_t byte = 0; byte < kMostProcesses; ++byte) {
         struct flock range = range_of(byte, 1);
-        if (uninterrupted([&] { return calls_.lock(file, F_OFD_SETLK, range); }) == 0) return true;
+        if (uninterrupted(kMostInterruptions, [&] { return calls_.lock(file, F_OFD_SETLK, range); }) == 0)
+            return true;
         if (errno != EAGAIN && errno != EACCES) break;  // not another process's byte: a fault
     }
     return failed(errno);
@@ -152,7 +147,7 @@
 OtherProcess HotRestartLock::others_in(int file) {
     if (file < 0) return OtherProcess::unknown;
     struct flock range = range_of(0, kMostProcesses);
-    if (uninterrupted([&] { return calls_.lock(file, F_OFD_GETLK, range); }) != 0) {
+    if (uninterrupted(kMostInterruptions, [&] { return calls_.lock(file, F_OFD_GETLK, range); }) != 0) {
         failed(errno);
         return OtherProcess::unknown;
     }
--- a/src/node/socket_errors.hpp
+++ b/src/node/socket_errors.hpp
@@ -7,6 +7,8 @@
 #include <boost/system/error_code.hpp>
 #include <cerrno>
 
+#include "node/interrupted_calls.hpp"
+
 namespace mothring::node {
 
 /// Whether a signal came in between: the call has done nothing, and says nothing of what there is to do.
@@ -89,12 +91,9 @@
 /// Those of the events that hold for a descriptor now, without waiting; POLLHUP and POLLERR are always among
 /// those asked for.
 inline short events_now(int descriptor, short events) {
-    for (int tries = 0; tries < kInterruptedTries; ++tries) {
-        pollfd entry{descriptor, events, 0};
-        if (::poll(&entry, 1, 0) >= 0) return entry.revents;
-        if (errno != EINTR) break;
-    }
-    return 0;
+    pollfd entry{descriptor, events, 0};
+    const int answered = uninterrupted(kInterruptedTries, [&] { return ::poll(&entry, 1, 0); });
+    return answered >= 0 ? entry.revents : short{0};
 }
 
 }  // namespace mothring::node
