--- a/tests/lab_rig.hpp
+++ b/tests/lab_rig.hpp
@@ -11,6 +11,7 @@
 #include <string>
 
 #include "lab/lab.hpp"
+#include "program_path.hpp"
 
 namespace mothring::lab::test {
 
@@ -26,7 +27,8 @@
         if (!HasFailure()) std::filesystem::remove_all(folder);
     }
     Lab& start(const std::string& scenario) {
-        lab = std::make_unique<Lab>(read_scenario(scenario, "test.toml"), folder, MOTHRING_BIN);
+        lab = std::make_unique<Lab>(read_scenario(scenario, "test.toml"), folder,
+                                    mothring::test::program_path());
         lab->start();
         return *lab;
     }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -12,6 +12,7 @@
 
 #include "lab/report.hpp"
 #include "lab_rig.hpp"
+#include "program_path.hpp"
 
 namespace mothring::lab::test {
 namespace {
@@ -371,8 +372,8 @@
     const pid_t pid = ::fork();
     if (pid != 0) return {pid};
     if (!std::freopen(err.c_str(), "w", stderr) || !std::freopen("/dev/null", "w", stdout)) ::_exit(126);
-    ::execl(MOTHRING_BIN, MOTHRING_BIN, "lab", scenario.c_str(), "--out", out.c_str(),
-            static_cast<char*>(nullptr));
+    ::execl(mothring::test::program_path(), mothring::test::program_path(), "lab", scenario.c_str(), "--out",
+            out.c_str(), static_cast<char*>(nullptr));
     ::_exit(127);
 }
 
--- a/tests/program_rig.hpp
+++ b/tests/program_rig.hpp
@@ -14,6 +14,7 @@
 #include <system_error>
 
 #include "net_rig.hpp"
+#include "program_path.hpp"
 
 namespace mothring::node::test {
 
@@ -51,7 +52,7 @@
         ::setenv("TMPDIR", temporary.c_str(), 1);
         if (!set_up()) ::_exit(126);
         for (int file = 3; file < 1024; ++file) ::close(file);  // the test's connections are its own
-        ::execl(MOTHRING_BIN, MOTHRING_BIN, static_cast<char*>(nullptr));
+        ::execl(mothring::test::program_path(), mothring::test::program_path(), static_cast<char*>(nullptr));
         ::_exit(127);
     }
     // How often that event is in that log.
@@ -70,8 +71,8 @@
         ::unsetenv("LB_CONFIG");
         if (!std::freopen((folder / "log").c_str(), "w", stderr)) ::_exit(126);
         if (!std::freopen("/dev/null", "w", stdout)) ::_exit(126);
-        ::execl(MOTHRING_BIN, MOTHRING_BIN, "check-config", (folder / "sidecar.toml").c_str(),
-                static_cast<char*>(nullptr));
+        ::execl(mothring::test::program_path(), mothring::test::program_path(), "check-config",
+                (folder / "sidecar.toml").c_str(), static_cast<char*>(nullptr));
         ::_exit(127);
     }
     static int status_of(pid_t child) {
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -17,6 +17,7 @@
 #include "node/clock.hpp"
 #include "node/discovery.hpp"
 #include "node/peers.hpp"
+#include "program_path.hpp"
 #include "system_call_faults.hpp"
 
 namespace mothring::node::test {
@@ -629,7 +630,7 @@
         for (int file = 3; file < 1024; ++file) ::close(file);
         ::setenv("LB_CONFIG", config_.c_str(), 1);
         allow(descriptors);
-        ::execl(MOTHRING_BIN, MOTHRING_BIN, static_cast<char*>(nullptr));
+        ::execl(mothring::test::program_path(), mothring::test::program_path(), static_cast<char*>(nullptr));
         ::_exit(127);
     }
 
