--- a/bench/balancer_benchmark.cpp
+++ b/bench/balancer_benchmark.cpp
@@ -17,26 +17,26 @@
 
 Settings make_settings() {
     RequestClass reads;
-    reads.effect = Effect::repeatable;
-    reads.aim = 200;
+    reads.idempotency = Idempotency::always;
+    reads.latency_objective = 200;
     RequestClass writes;
-    writes.effect = Effect::once;
-    writes.aim = 400;
-    writes.worth = 2;
+    writes.idempotency = Idempotency::never;
+    writes.latency_objective = 400;
+    writes.priority_weight = 2;
     Settings settings;
     settings.classes = {reads, writes};
-    settings.siblings = 350;
-    settings.warm_within = 10000;
-    settings.cold_from = 0.2;
+    settings.fleet_size = 350;
+    settings.slow_start_window = 10000;
+    settings.slow_start_min_capacity = 0.2;
     return settings;
 }
 
 class Client {
 public:
     explicit Client(ServerId servers) : balancer_(make_settings(), 1) {
-        ServerList list;
+        EndpointList list;
         for (ServerId id = 1; id <= servers; ++id)
-            list.servers.push_back({id, id % kZones, 0, Phase::on, 0, id % kKinds, id});
+            list.servers.push_back({id, id % kZones, 0, EndpointState::active, 0, id % kKinds, id});
         give(Started{});
         give(list);
         for (int i = 0; i < kWarmUpRequests; ++i) request();
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -130,12 +130,12 @@
     Result result;
     result.id = hex(side.number << 48 | next_id_++);
     std::ostringstream text;
-    text << (kind.effect == Effect::repeatable ? "GET /" : "POST /") << kind.name
+    text << (kind.effect == Idempotency::always ? "GET /" : "POST /") << kind.name
          << " HTTP/1.1\r\nHost: app.svc\r\nRequest-Id: " << result.id << "\r\nRequest-Class: " << kind.name
          << "\r\nRequest-Timeout-Ms: " << static_cast<int>(kind.timeout) << "\r\n";
     if (!key.empty()) text << "Scan-Key: " << key << "\r\n";
-    if (kind.effect == Effect::by_key) text << "Idempotency-Key: key-" << result.id << "\r\n";
-    if (kind.effect != Effect::repeatable)
+    if (kind.effect == Idempotency::with_key) text << "Idempotency-Key: key-" << result.id << "\r\n";
+    if (kind.effect != Idempotency::always)
         text << "Content-Length: 4\r\n\r\nscan";
     else
         text << "\r\n";
@@ -186,7 +186,7 @@
             const bool unread = reused && buffer.size() == 0 && !*late;
             socket.reset();
             result.end = *late ? End::timed_out : End::lost;
-            if (unread && kind.effect == Effect::repeatable) continue;
+            if (unread && kind.effect == Idempotency::always) continue;
             co_return result;
         }
         if (answer.result() == http::status::ok) {
--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -17,7 +17,7 @@
 
 struct ClientClass {
     std::string name;
-    Effect effect = Effect::repeatable;
+    Idempotency effect = Idempotency::always;
     Millis on_time = 750, timeout = 2500;
     double share = 1;  // of the arrivals, against the other classes' shares
 };
--- a/src/lab/scan_server.cpp
+++ b/src/lab/scan_server.cpp
@@ -168,9 +168,9 @@
         if (second >= counts_.seconds.size()) counts_.seconds.resize(second + 1);
         ++counts_.seconds[second];
     }
-    const Effect effect = request.method() == http::verb::get   ? Effect::repeatable
-                          : !request["Idempotency-Key"].empty() ? Effect::by_key
-                                                                : Effect::once;
+    const Idempotency effect = request.method() == http::verb::get   ? Idempotency::always
+                               : !request["Idempotency-Key"].empty() ? Idempotency::with_key
+                                                                     : Idempotency::never;
     std::uniform_real_distribution<double> share(0, 1);
     const bool away = share(random_) < behaviour_.turn_away_share ||
                       (at_work_ >= behaviour_.slots && waiting_.size() >= behaviour_.queue);
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -62,7 +62,7 @@
 void read_sidecars(Scenario& s, TomlTable table) {
     table.integer_into(s.sidecars, "count", 1, kMostSidecars);
     table.flag_into(s.may_tell, "may_tell");
-    if (const auto mode = table.one_of("list", {"pushed", "on_request"})) s.list_on_request = *mode == 1;
+    if (const auto mode = table.one_of("list", {"pushed", "on_request"})) s.must_subscribe = *mode == 1;
     table.number_into(s.clock_skew, "clock_skew_ms", -node::kMostSkew, node::kMostSkew);
     table.integer_into(s.skewed, "skewed", 0, s.sidecars);
     if (auto cluster = table.table("cluster")) {
@@ -91,7 +91,7 @@
         if (!name || name->empty()) entry.fail("name", "is missing");
         c.name = *name;
         if (const auto effect = entry.one_of("effect", {"repeatable", "by_key", "once"}))
-            c.effect = static_cast<Effect>(*effect);
+            c.effect = static_cast<Idempotency>(*effect);
         entry.number_into(c.on_time, "on_time_ms", 1.0, 60000.0);
         c.timeout = std::max(c.timeout, c.on_time);
         entry.number_into(c.timeout, "timeout_ms", c.on_time, 60000.0);
@@ -222,7 +222,7 @@
     if (const auto table = root.table("sidecars")) read_sidecars(s, *table);
     if (const auto table = root.table("servers")) read_servers(s, *table);
     if (const auto table = root.table("clients")) read_clients(s, *table);
-    if (s.classes.empty()) s.classes.push_back({"fetch", Effect::repeatable, 750, 2500, 1});
+    if (s.classes.empty()) s.classes.push_back({"fetch", Idempotency::always, 750, 2500, 1});
     if (auto table = root.table("discovery")) {
         table->number_into(s.discovery_service, "service_ms", 0.0, 10000.0);
         table->done();
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -60,7 +60,7 @@
     std::vector<ClientClass> classes;
     double rate = 10;                // requests a second at each sidecar
     bool may_tell = true;            // whether sidecars may send each other messages
-    bool list_on_request = false;    // membership-mode
+    bool must_subscribe = false;     // membership-mode
     Millis discovery_service = 0.2;  // one call's time; calls take turns
     std::vector<Fault> faults;       // by time
 
--- a/src/lab/sidecar_config.cpp
+++ b/src/lab/sidecar_config.cpp
@@ -22,8 +22,8 @@
     return key.str();
 }
 
-const char* effect_name(Effect effect) {
-    return effect == Effect::repeatable ? "repeatable" : effect == Effect::by_key ? "by_key" : "once";
+const char* effect_name(Idempotency effect) {
+    return effect == Idempotency::always ? "repeatable" : effect == Idempotency::with_key ? "by_key" : "once";
 }
 
 std::string hex_seed(std::uint64_t seed) {
@@ -75,7 +75,7 @@
             {"my-zone", scenario_.zone(i)},
             {"classes", classes_of(scenario_)},
             {"siblings", scenario_.sidecars},
-            {"membership-mode", scenario_.list_on_request ? "on_request" : "pushed"},
+            {"membership-mode", scenario_.must_subscribe ? "on_request" : "pushed"},
             {"tenants", Json::array()},
             {"limits", limits_of(scenario_)},
             {"rules", rules_of(scenario_)}};
--- a/src/lab/stats.hpp
+++ b/src/lab/stats.hpp
@@ -100,11 +100,11 @@
 class Ledger {
 public:
     // `may_have_run`: false where the server turned it away with Not-Started.
-    void arrived(const std::string& id, Effect effect, bool may_have_run) {
+    void arrived(const std::string& id, Idempotency effect, bool may_have_run) {
         const std::lock_guard lock(mutex_);
         Entry& entry = requests_[id];
         // The attempt that breaks the rule is one that comes after an attempt that may have run.
-        if (effect == Effect::once && entry.run > 0) ++once_repeated_;
+        if (effect == Idempotency::never && entry.run > 0) ++once_repeated_;
         ++entry.attempts;
         entry.run += may_have_run;
         ++attempts_;
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -109,8 +109,11 @@
         m.id = get<std::string>(entry, "id");
         // A word not known is handled as the careful one of those that are: nothing new goes there.
         const auto state = get<std::string>(entry, "state");
-        m.phase = state == "Ready" ? Phase::on : state == "Gone" ? Phase::off : Phase::fading;
-        if (m.phase != Phase::off || entry.contains("addr")) m.address = get_endpoint<Tcp>(entry, "addr");
+        m.state = state == "Ready"  ? EndpointState::active
+                  : state == "Gone" ? EndpointState::removed
+                                    : EndpointState::draining;
+        if (m.state != EndpointState::removed || entry.contains("addr"))
+            m.address = get_endpoint<Tcp>(entry, "addr");
         m.zone = get_or<std::string>(entry, "zone", "");
         m.kind = get_or<std::string>(entry, "kind", "");
         m.cell = get_or<std::uint32_t>(entry, "cell", 0);
--- a/src/node/config.hpp
+++ b/src/node/config.hpp
@@ -31,7 +31,7 @@
     std::string zone;
     std::string kind;
     std::uint32_t cell = 0;
-    Phase phase = Phase::on;
+    EndpointState state = EndpointState::active;
     Millis started = 0;
 };
 struct MemberList {
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -92,7 +92,7 @@
                 if (failed) return self->end("broken off: " + failed.message());
                 const auto& answer = self->parser_->get();
                 const bool ok = answer.result() == http::status::ok;
-                self->end(ok ? "" : "status " + std::to_string(answer.result_int()), ListFailure::turned_away,
+                self->end(ok ? "" : "status " + std::to_string(answer.result_int()), ListFailure::rejected,
                           retry_after(answer[http::field::retry_after]));
             });
     }
@@ -194,7 +194,7 @@
     told_by(call.since() + span(kTold));
     drop(late_);
     late_ = std::exchange(watch_, nullptr);
-    failed("no answer in time", ListFailure::silent);
+    failed("no answer in time", ListFailure::timed_out);
 }
 
 void Discovery::told_by(Steady::time_point at) { told_at_ = told_at_ ? std::min(*told_at_, at) : at; }
--- a/src/node/discovery.hpp
+++ b/src/node/discovery.hpp
@@ -19,7 +19,7 @@
     struct Failure {
         ListFailure kind = ListFailure::broken;
         // The time (ms) after which what the list held may have missed counts as told, below 0 once it does.
-        Millis told_within = 0;
+        Millis notified_within = 0;
         std::optional<Millis> retry_after;  // what discovery asks for, if anything
     };
     struct Callbacks {
--- a/src/node/options.cpp
+++ b/src/node/options.cpp
@@ -95,7 +95,7 @@
         log->done();
     }
     if (auto affinity = root.table("affinity")) {
-        options.affinity_bound = affinity->number("bound", 1.0, 1000.0);
+        options.affinity_load_bound = affinity->number("bound", 1.0, 1000.0);
         for (TomlTable& rule : affinity->tables("rules")) {
             const auto of = rule.text("class"), key = rule.text("key");
             if (!of) rule.fail("class", "is missing");
@@ -131,7 +131,7 @@
     config.clock_skew = options.clock_skew;
     config.cluster = options.cluster;
     config.affinity = options.affinity;
-    if (options.affinity_bound) config.site.settings.affinity_bound = *options.affinity_bound;
+    if (options.affinity_load_bound) config.site.settings.affinity_load_bound = *options.affinity_load_bound;
     for (const Config::Affinity& rule : config.affinity)
         if (rule.class_name != "*" && config.site.class_index(rule.class_name) >= config.site.classes.size())
             throw ConfigError("'affinity.rules.class' names no class of the settings: " + rule.class_name);
--- a/src/node/options.hpp
+++ b/src/node/options.hpp
@@ -39,7 +39,7 @@
     Millis clock_skew = 0;
     std::optional<cluster::Settings> cluster;
     std::vector<Config::Affinity> affinity;
-    std::optional<double> affinity_bound;
+    std::optional<double> affinity_load_bound;
 };
 inline constexpr Millis kMostSkew = 24 * 3600 * 1000.0;
 
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -50,13 +50,13 @@
 // Whether the method and the key are those that the protocol gives to a class.
 bool in_form(const RequestClass& kind, const Front::Message& message, bool has_body) {
     const bool keyed = !message["Idempotency-Key"].empty();
-    if (kind.effect == Effect::repeatable) return message.method() == http::verb::get && !has_body;
-    return message.method() == http::verb::post && keyed == (kind.effect == Effect::by_key);
+    if (kind.idempotency == Idempotency::always) return message.method() == http::verb::get && !has_body;
+    return message.method() == http::verb::post && keyed == (kind.idempotency == Idempotency::with_key);
 }
 
 Millis gather(const Settings& settings) {
-    Millis least = settings.classes.front().aim;
-    for (const RequestClass& c : settings.classes) least = std::min(least, c.aim);
+    Millis least = settings.classes.front().latency_objective;
+    for (const RequestClass& c : settings.classes) least = std::min(least, c.latency_objective);
     return least / kGatherPart;
 }
 
@@ -100,7 +100,7 @@
             watch_other_process();
         }
     }
-    const bool asked = config_.site.settings.list_on_request;
+    const bool asked = config_.site.settings.must_subscribe;
     discovery_.emplace(
         io, config_.discovery, config_.known.version, !asked, config_.drain_grace,
         Discovery::Callbacks{
@@ -108,8 +108,8 @@
                 list(changes.full ? ListKind::full : ListKind::incremental, changes);
             },
             [this](const Discovery::Failure& failure) {
-                give(
-                    ServerList{ListKind::failed, {}, failure.told_within, failure.kind, failure.retry_after});
+                give(EndpointList{
+                    ListKind::failed, {}, failure.notified_within, failure.kind, failure.retry_after});
             }});
     if (config_.may_tell && config_.peer_listen)
         peers_.emplace(io, *config_.peer_listen, config_.peers, config_.peers_all,
@@ -118,7 +118,7 @@
                        });
     give(Started{});
     if (config_.cluster) open_cluster();
-    list(ListKind::saved, config_.known);
+    list(ListKind::cached, config_.known);
     config_.known = {};
     if (!asked) discovery_->watch(true);
     // Beside another process clients come here as soon as we listen: not before there is a server to send to.
@@ -203,7 +203,7 @@
             budget_->limit = buffers();
             upstream_.limit_connections(half(sockets()));
             if (front_) front_->limit_clients(half(sockets()));
-            give(Doubled{halved_});
+            give(ProcessOverlap{halved_});
         }
     }
     hot_restart_timer_.expires_after(span(kOtherProcessLook));
@@ -234,7 +234,7 @@
     metrics.in_flight = flights_.size();
     metrics.known = listed_;
     metrics.list = discovery_->state();
-    metrics.excluded = balancer_.held().avoided;
+    metrics.excluded = balancer_.gauges().unavailable;
     if (cluster_) metrics.cluster = cluster_->figures();
     return metrics;
 }
@@ -345,33 +345,36 @@
 void Sidecar::carry_out(const Action& action) {
     std::visit(
         Overloaded{
-            [&](const Send& a) { carry_out(a); }, [&](const Cancel& a) { carry_out(a); },
-            [&](const Refuse& a) {
+            [&](const SendAttempt& a) { carry_out(a); }, [&](const CancelAttempt& a) { carry_out(a); },
+            [&](const RejectRequest& a) {
                 Front::Answer refusal(http::status::service_unavailable, 11);
-                if (a.retry_in > 0) refusal.set(http::field::retry_after, decimal(a.retry_in / 1000, "%.3f"));
+                if (a.retry_after > 0)
+                    refusal.set(http::field::retry_after, decimal(a.retry_after / 1000, "%.3f"));
                 answer(a.id, std::move(refusal));
             },
-            [&](const GiveUp& a) {
+            [&](const FailRequest& a) {
                 const auto at = requests_.find(a.id);
                 const bool late = at != requests_.end() && clock_.now() >= at->second.deadline;
                 answer(a.id,
                        Front::Answer(late ? http::status::gateway_timeout : http::status::bad_gateway, 11));
             },
-            [&](const SetTimer& a) { due(a.at, a.token); }, [&](const Probe& a) { probe(a.server); },
-            [&](const CloseIdle& a) { upstream_.close_idle(a.server); },
-            [&](const TellPeer& a) {
+            [&](const SetTimer& a) { due(a.at, a.token); }, [&](const HealthCheck& a) { probe(a.server); },
+            [&](const CloseIdleConnections& a) { upstream_.close_idle(a.server); },
+            [&](const SendToPeer& a) {
                 if (peers_) peers_->tell(a.to, a.bytes);
             },
             [&](const Subscribe& a) { discovery_->watch(a.active); },
-            [&](const Log& a) {
-                const auto server = servers_.find(a.server.value_or(0));
-                log(spdlog::level::info, "policy.note",
-                    {{"server", server == servers_.end() ? "" : server->second.name}, {"text", a.text}});
+            [&](const EndpointEjected& a) {
+                log(spdlog::level::info, "endpoint.ejected",
+                    {{"server", name_of(a.server)}, {"for_ms", std::round(a.until - clock_.now())}});
+            },
+            [&](const EndpointRestored& a) {
+                log(spdlog::level::info, "endpoint.restored", {{"server", name_of(a.server)}});
             }},
         action);
 }
 
-void Sidecar::carry_out(const Send& send) {
+void Sidecar::carry_out(const SendAttempt& send) {
     const auto request = requests_.find(send.id);
     if (request == requests_.end()) return;
     Request& r = request->second;
@@ -381,7 +384,7 @@
     r.attempts.push_back({0, send.server, clock_.now(), true});
     ++r.out;
     if (server != servers_.end()) ++server->second.out;
-    if (r.body && !r.body->kept()) return ended(send.id, number, Outcome::superseded, {});
+    if (r.body && !r.body->kept()) return ended(send.id, number, Outcome::not_sent, {});
 
     const Front::Message& from = *r.message;
     Upstream::Request to;
@@ -392,7 +395,7 @@
     to.message.set(http::field::host, from[http::field::host]);
     to.may_begin = [this, send](Upstream::Message& head) { return may_begin(send, head); };
     to.still_wanted = [this, id = send.id] { return !front_->left(id); };
-    if (!to.may_begin(to.message)) return ended(send.id, number, Outcome::superseded, {});
+    if (!to.may_begin(to.message)) return ended(send.id, number, Outcome::not_sent, {});
     if ((to.body = r.body)) r.body->rewind();
     r.attempts[number].exchange = upstream_.start(
         send.server, std::move(to),
@@ -409,15 +412,15 @@
 }
 
 // The end of what an attempt is given, on the sidecar's clock.
-Millis Sidecar::waits_until(const Send& send, const Request& request) const {
-    return send.try_until > 0 ? std::min(send.try_until, request.deadline) : request.deadline;
+Millis Sidecar::waits_until(const SendAttempt& send, const Request& request) const {
+    return send.deadline > 0 ? std::min(send.deadline, request.deadline) : request.deadline;
 }
 
 // Right before a first byte goes out: at the choice, and once more when a connection has come up. Whoever has
 // left by then is not served, a server that leaves gets nothing new, and what comes too late is not issued.
 // The head tells what is left by the same reading of the clock, in whole milliseconds, rounded down. The time
 // of a body that is still coming counts from its last byte, which may stand unread already.
-bool Sidecar::may_begin(const Send& send, Upstream::Message& head) {
+bool Sidecar::may_begin(const SendAttempt& send, Upstream::Message& head) {
     const auto request = requests_.find(send.id);
     const auto server = servers_.find(send.server);
     if (request == requests_.end() || request->second.ended || server == servers_.end()) return false;
@@ -427,18 +430,18 @@
     const Request& r = request->second;
     const Millis unread = r.whole_at > 0 ? 0 : front_->unread_for(send.id);
     const Millis left = std::floor(std::min(r.time_left - unread, waits_until(send, r) - now));
-    if (left < 1 || (send.begin_by > 0 && now >= send.begin_by)) return false;
+    if (left < 1 || (send.send_by > 0 && now >= send.send_by)) return false;
     head.set("Request-Timeout-Ms", decimal(left, "%.0f"));
     return true;
 }
 
-void Sidecar::carry_out(const Cancel& cancel) {
+void Sidecar::carry_out(const CancelAttempt& cancel) {
     const auto request = requests_.find(cancel.id);
     if (request == requests_.end() || cancel.attempt >= request->second.attempts.size()) return;
     const Attempt& attempt = request->second.attempts[cancel.attempt];
     if (!attempt.out) return;
     upstream_.stop(attempt.exchange);
-    ended(cancel.id, cancel.attempt, Outcome::recalled, {});
+    ended(cancel.id, cancel.attempt, Outcome::cancelled, {});
 }
 
 void Sidecar::answer(RequestId id, Front::Answer answer) {
@@ -470,16 +473,16 @@
     if (!arrival.tenant.empty()) event.tenant = config_.site.tenant_index(arrival.tenant);
     event.time_left = within_drain(arrival.time_left);
     event.effort = arrival.effort;
-    event.repeat = arrival.repeat;
-    event.unfinished = arrival.body && !arrival.body->whole();
-    event.affinity = affinity_of(arrival.class_name, *arrival.message);
+    event.is_retry = arrival.repeat;
+    event.body_incomplete = arrival.body && !arrival.body->whole();
+    event.affinity_hash = affinity_of(arrival.class_name, *arrival.message);
     Request& request = requests_[arrival.id];
     request.message = std::move(arrival.message);
     request.body = std::move(arrival.body);
     request.class_index = event.class_index;
     request.time_left = arrival.time_left;
     request.deadline = kNever;
-    if (event.unfinished) return give(event);  // taken, and its time begun, with its last byte
+    if (event.body_incomplete) return give(event);  // taken, and its time begun, with its last byte
     request.whole_at = clock_.now();
     request.deadline = request.whole_at + event.time_left;
     flights_[arrival.id].class_index = event.class_index;
@@ -506,7 +509,7 @@
     flights_[id].class_index = r.class_index;
     for (std::uint32_t number = 0; number < r.attempts.size(); ++number)
         if (r.attempts[number].out) due(r.deadline, AttemptLimit{id, number});
-    give(BodyWhole{id, r.time_left});
+    give(BodyComplete{id, r.time_left});
 }
 
 void Sidecar::begun(RequestId id, std::uint32_t number, Front::Head head, std::shared_ptr<Pipe> body) {
@@ -521,7 +524,7 @@
     Flight& flight = flights_[id];
     flight.class_index = at->second.class_index;
     flight.ending = Ending::served;
-    give(FirstByte{id, number});
+    give(ResponseStarted{id, number});
     front_->stream(id, std::move(head), std::move(body));
 }
 
@@ -542,14 +545,14 @@
         each_out([&](const Request&, const Attempt& attempt, std::uint32_t i) {
             if (attempt.begun == 0) run_out(id, i);
         });
-    give(ClientGone{id});
+    give(ClientDisconnected{id});
     // Settings may forbid to withdraw what a server has whole. What it has not must never come to be, and
     // what can't come to its end without the client is not left to run out.
     each_out([&](const Request&, const Attempt& attempt, std::uint32_t i) {
         const bool begun = upstream_.begun(attempt.exchange);
         if (upstream_.written(attempt.exchange) && attempt.begun == 0) return;
         upstream_.stop(attempt.exchange);
-        ended(id, i, begun ? Outcome::recalled : Outcome::superseded, {});
+        ended(id, i, begun ? Outcome::cancelled : Outcome::not_sent, {});
     });
     if (requests_.contains(id)) forget_request(id);
 }
@@ -567,12 +570,12 @@
     const Millis till = attempt.begun > 0 ? attempt.begun : clock_.now();
     AttemptEnded event{id, number, outcome, std::max(0.0, till - std::max(attempt.sent, r.whole_at)),
                        r.ended};
-    if (r.body && !r.body->kept() && !r.ended) give(BodySpent{id});
+    if (r.body && !r.body->kept() && !r.ended) give(BodyDiscarded{id});
     const ServerId server = attempt.server;
     // What a server makes of the request is the client's, be it that it can't be served.
     if (attempt.begun > 0)
         event.request_ended = r.ended = true;
-    else if ((outcome == Outcome::completed || outcome == Outcome::rejected) && !r.ended) {
+    else if ((outcome == Outcome::completed || outcome == Outcome::invalid_request) && !r.ended) {
         Front::Answer made(response.result(), 11);
         copy_end_to_end(made, response);
         made.body() = std::move(response.body());
@@ -588,7 +591,7 @@
 void Sidecar::probe(ServerId server) {
     const auto at = servers_.find(server);
     if (!config_.may_probe || at == servers_.end() || !at->second.listed)
-        return give(ProbeEnded{server, Outcome::superseded, 0});
+        return give(HealthCheckEnded{server, Outcome::not_sent, 0});
     Upstream::Request ping;
     ping.attempt = false;
     ping.message.method(http::verb::get);
@@ -597,12 +600,12 @@
     const auto timeout = std::make_shared<asio::steady_timer>(io_, span(kProbeTimeout));
     const auto told = [this, server, timeout, began = clock_.now()](Outcome outcome) {
         timeout->cancel();
-        give(ProbeEnded{server, outcome, clock_.now() - began});
+        give(HealthCheckEnded{server, outcome, clock_.now() - began});
     };
     const ExchangeId exchange =
         upstream_.start(server, std::move(ping), [told](Outcome outcome, const auto&) { told(outcome); });
     timeout->async_wait([this, told, exchange](boost::system::error_code cancelled) {
-        if (!cancelled) told(upstream_.stop(exchange) ? Outcome::overdue : Outcome::refused_connection);
+        if (!cancelled) told(upstream_.stop(exchange) ? Outcome::timed_out : Outcome::connect_failed);
     });
 }
 
@@ -615,9 +618,14 @@
     return at->second;
 }
 
+std::string Sidecar::name_of(ServerId id) const {
+    const auto server = servers_.find(id);
+    return server == servers_.end() ? "" : server->second.name;
+}
+
 void Sidecar::list(ListKind kind, const MemberList& members) {
     log_list(members);
-    ServerList event{kind, {}};
+    EndpointList event{kind, {}};
     const ServerStartTimes::Moment moment = moment_of(kind);
     if (kind != ListKind::incremental)
         for (auto& [id, server] : servers_) set_listed(server, false);
@@ -625,19 +633,19 @@
     // A change is of few servers, however many are listed: no other one can have left by it.
     std::vector<ServerId> concerned;
     if (kind == ListKind::incremental)
-        for (const ServerInfo& server : event.servers) concerned.push_back(server.id);
+        for (const EndpointInfo& server : event.servers) concerned.push_back(server.id);
     else
         for (const auto& [id, server] : servers_) concerned.push_back(id);
     give(std::move(event));
     for (const ServerId id : concerned) forget_server(id);
-    if (!front_ && listed_ > 0 && kind != ListKind::saved) open_front_when_possible();
+    if (!front_ && listed_ > 0 && kind != ListKind::cached) open_front_when_possible();
 }
 
 void Sidecar::log_list(const MemberList& members) const {
     if (!logs(spdlog::level::debug)) return;
     LogFields leaving = LogFields::array();
     for (const Member& m : members.members)
-        if (m.phase != Phase::on) leaving.push_back(m.id);
+        if (m.state != EndpointState::active) leaving.push_back(m.id);
     log(spdlog::level::debug, "list.changed",
         {{"version", members.version},
          {"full", members.full},
@@ -645,18 +653,18 @@
          {"leaving", std::move(leaving)}});
 }
 
-ServerInfo Sidecar::take_member(const Member& member, const ServerStartTimes::Moment& moment) {
+EndpointInfo Sidecar::take_member(const Member& member, const ServerStartTimes::Moment& moment) {
     const ServerId id = server_id(member.id);
     Server& server = servers_[id];
-    set_listed(server, member.phase != Phase::off);
-    server.leaving = member.phase != Phase::on;
+    set_listed(server, member.state != EndpointState::removed);
+    server.leaving = member.state != EndpointState::active;
     if (server.listed) upstream_.set_server(id, member.address, member.started);
-    const Millis online_since = start_of(member, moment).at;
+    const Millis started_at = start_of(member, moment).at;
     return {id,
             config_.site.zone(member.zone),
             member.cell,
-            member.phase,
-            online_since,
+            member.state,
+            started_at,
             config_.site.kind(member.kind),
             XXH64(member.id.data(), member.id.size(), 0)};
 }
@@ -670,7 +678,7 @@
 // The saved list may be old, and bounds nobody's age; nor does what another discovery has told.
 ServerStartTimes::Moment Sidecar::moment_of(ListKind kind) const {
     ServerStartTimes::Moment moment{clock_.now(), clock_.wall(), {}};
-    if (kind == ListKind::saved) return moment;
+    if (kind == ListKind::cached) return moment;
     moment.since_answer = discovery_->state().age_before;
     if (discovery_moved_at_ && moment.since_answer > moment.now - *discovery_moved_at_)
         moment.since_answer.reset();
@@ -729,7 +737,7 @@
 // An attempt's time.
 void Sidecar::run_out(RequestId id, std::uint32_t attempt) {
     const bool written = upstream_.stop(requests_.at(id).attempts[attempt].exchange);
-    ended(id, attempt, written ? Outcome::overdue : Outcome::refused_connection, {});
+    ended(id, attempt, written ? Outcome::timed_out : Outcome::connect_failed, {});
 }
 
 void Sidecar::arm() {
--- a/src/node/sidecar.hpp
+++ b/src/node/sidecar.hpp
@@ -49,7 +49,7 @@
     std::optional<Tcp::endpoint> operator_address() const;
     bool ready() const { return front_ && listed_ > 0 && !drained_; }
     Metrics metrics() const;
-    Balancer::Held held() const { return balancer_.held(); }
+    Balancer::Gauges gauges() const { return balancer_.gauges(); }
     std::size_t records() const { return requests_.size(); }
     bool halved() const { return halved_; }
     std::size_t buffered() const { return budget_->used; }
@@ -105,15 +105,15 @@
     void look_for_overdue(Millis in);
     bool answer_overdue();
     void carry_out(const Action& action);
-    void carry_out(const Send& send);
-    void carry_out(const Cancel& cancel);
+    void carry_out(const SendAttempt& send);
+    void carry_out(const CancelAttempt& cancel);
     void answer(RequestId id, Front::Answer answer);
     void give_answer(RequestId id, Front::Answer answer);
 
     void arrived(Front::Arrival arrival);
     void gone(RequestId id);
-    bool may_begin(const Send& send, Upstream::Message& head);
-    Millis waits_until(const Send& send, const Request& request) const;
+    bool may_begin(const SendAttempt& send, Upstream::Message& head);
+    Millis waits_until(const SendAttempt& send, const Request& request) const;
     void run_out(RequestId id, std::uint32_t attempt);
     void whole(RequestId id);
     void begun(RequestId id, std::uint32_t attempt, Front::Head head, std::shared_ptr<Pipe> body);
@@ -131,9 +131,10 @@
     std::size_t buffers() const;
 
     ServerId server_id(const std::string& name);
+    std::string name_of(ServerId id) const;
     void list(ListKind kind, const MemberList& members);
     void log_list(const MemberList& members) const;
-    ServerInfo take_member(const Member& member, const ServerStartTimes::Moment& moment);
+    EndpointInfo take_member(const Member& member, const ServerStartTimes::Moment& moment);
     void set_listed(Server& server, bool listed);
     ServerStartTimes::Moment moment_of(ListKind kind) const;
     ServerStartTimes::Start start_of(const Member& member, const ServerStartTimes::Moment& moment);
--- a/src/node/upstream.cpp
+++ b/src/node/upstream.cpp
@@ -33,9 +33,9 @@
 Outcome outcome_of(const Message& response) {
     const unsigned status = response.result_int();
     if (status == 200) return Outcome::completed;
-    if (status / 100 == 4 && status != 408 && status != 429) return Outcome::rejected;
+    if (status / 100 == 4 && status != 408 && status != 429) return Outcome::invalid_request;
     const bool proof = (status == 503 || status == 504) && response["Not-Started"] == "1";
-    return proof ? Outcome::saturated : Outcome::errored;
+    return proof ? Outcome::overloaded : Outcome::failed;
 }
 
 // An answer that is passed on is given up when its server has been silent for the longest deadline.
@@ -66,7 +66,7 @@
         error_code error;
         if (socket_.open(address.protocol(), error)) {  // out of descriptors
             asio::post(socket_.get_executor(), [self = shared_from_this()] {
-                if (self->exchange_) self->end(false, Outcome::superseded, {});
+                if (self->exchange_) self->end(false, Outcome::not_sent, {});
             });
             return;
         }
@@ -83,7 +83,7 @@
             // Much may have come between the choice and now.
             const auto request = self->exchange_->request;
             if (!request->may_begin || request->may_begin(request->message)) return self->write();
-            if (self->exchange_) self->end(true, Outcome::superseded, {});
+            if (self->exchange_) self->end(true, Outcome::not_sent, {});
         });
     }
 
@@ -404,12 +404,12 @@
     // Only what is the server's counts against it.
     void unconnected(error_code why) {
         if (!exchange_ || !is_local_failure(why)) return fail(false);
-        end(false, Outcome::superseded, {});
+        end(false, Outcome::not_sent, {});
     }
 
     void fail(bool may_have_run) {
         if (!exchange_) return close();
-        end(false, may_have_run ? Outcome::severed : Outcome::refused_connection, {});
+        end(false, may_have_run ? Outcome::connection_lost : Outcome::connect_failed, {});
     }
 
     // What it shares with others of its exchange; the answer that is passed on, if any, is to be ended.
@@ -527,7 +527,7 @@
     if (fresh) {
         if (server == servers_.end() || !make_room()) {
             // Our own want of connections says nothing of the server.
-            asio::post(io_, [done = std::move(done)] { done(Outcome::superseded, {}); });
+            asio::post(io_, [done = std::move(done)] { done(Outcome::not_sent, {}); });
             return exchange;
         }
         connection = std::make_shared<Connection>(*this, id, server->second.life);
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -21,7 +21,7 @@
 enum class Standing { live, removed, trial };
 
 struct Server {
-    ServerInfo info;
+    EndpointInfo info;
     bool listed = true;
     int outstanding = 0;
     Standing standing = Standing::live;
@@ -90,16 +90,16 @@
         server = id, at = now;
     }
     // Servers started since say nothing of the others.
-    void answered(const ServerInfo& s) {
-        if (s.online_since < at || at == 0) *this = {};
+    void answered(const EndpointInfo& s) {
+        if (s.started_at < at || at == 0) *this = {};
     }
-    bool covers(const ServerInfo& s, Millis now, int enough, Millis length) const {
-        return outcomes >= enough && now < at + length && s.online_since < at;
+    bool covers(const EndpointInfo& s, Millis now, int enough, Millis length) const {
+        return outcomes >= enough && now < at + length && s.started_at < at;
     }
 };
 
 // Placement. A class we don't know might be bound as any of ours: it may go only where all of them may.
-inline bool is_open(const Settings& settings, std::uint32_t class_index, const ServerInfo& s) {
+inline bool is_open(const Settings& settings, std::uint32_t class_index, const EndpointInfo& s) {
     const auto open = [&](const RequestClass& c) { return holds(c.zones, s.zone) && holds(c.kinds, s.kind); };
     const auto& all = settings.classes;
     return class_index < all.size() ? open(all[class_index]) : std::all_of(all.begin(), all.end(), open);
@@ -111,13 +111,13 @@
     return static_cast<std::size_t>(std::count_if(servers.begin(), servers.end(), [&](const auto& entry) {
         const Server& s = entry.second;
         const auto loss = lost.find(s.info.zone);
-        return s.listed && (s.info.phase != Phase::on || s.standing != Standing::live ||
+        return s.listed && (s.info.state != EndpointState::active || s.standing != Standing::live ||
                             (loss != lost.end() && loss->second.covers(s.info, now, enough, length)));
     }));
 }
 
 struct Attempt {
-    ServerInfo to;
+    EndpointInfo to;
     Millis sent_at = 0;
     bool out = true, may_have_run = true;
     bool trial = false, cold = false;
@@ -154,13 +154,13 @@
 };
 
 // How far it is through its warm-up, from 0; 1: warm.
-inline double warmth(const ServerInfo& s, const Settings& settings, Millis now) {
-    if (settings.warm_within <= 0 || s.online_since <= 0) return 1;
-    return std::clamp((now - s.online_since) / settings.warm_within, 0.0, 1.0);
+inline double warmth(const EndpointInfo& s, const Settings& settings, Millis now) {
+    if (settings.slow_start_window <= 0 || s.started_at <= 0) return 1;
+    return std::clamp((now - s.started_at) / settings.slow_start_window, 0.0, 1.0);
 }
 
 // Whether a server drops repeats of what the attempt may have run.
-inline bool in_scope(const Request& r, const Attempt& a, const ServerInfo& s) {
+inline bool in_scope(const Request& r, const Attempt& a, const EndpointInfo& s) {
     if (r.kind.dedup_scope == DedupScope::all) return true;
     return r.kind.dedup_scope == DedupScope::zone ? a.to.zone == s.zone : a.to.cell == s.cell;
 }
--- a/src/policy/support.hpp
+++ b/src/policy/support.hpp
@@ -25,22 +25,22 @@
 
 // Whether an outcome tells anything of the server: none that was ours or the request's own doing does.
 inline bool is_verdict(Outcome o) {
-    return o != Outcome::rejected && o != Outcome::recalled && o != Outcome::superseded;
+    return o != Outcome::invalid_request && o != Outcome::cancelled && o != Outcome::not_sent;
 }
 
 inline bool proves_never_ran(Outcome o, const Settings& settings) {
-    return o == Outcome::refused_connection || o == Outcome::superseded ||
-           (o == Outcome::saturated && !settings.saturated_is_no_proof);
+    return o == Outcome::connect_failed || o == Outcome::not_sent ||
+           (o == Outcome::overloaded && !settings.overloaded_may_have_run);
 }
 
 // Whether something came from the server that was asked.
 inline bool is_answer(Outcome o) {
-    return o == Outcome::completed || o == Outcome::errored || o == Outcome::saturated;
+    return o == Outcome::completed || o == Outcome::failed || o == Outcome::overloaded;
 }
 
 // Whether a server that has left, or begun to, fails attempts in this way.
 inline bool may_have_left(Outcome o) {
-    return o == Outcome::saturated || o == Outcome::refused_connection || o == Outcome::severed;
+    return o == Outcome::overloaded || o == Outcome::connect_failed || o == Outcome::connection_lost;
 }
 
 // What is left at now of a weight of 1 at since, for a memory of that length.
--- a/src/settings/site.cpp
+++ b/src/settings/site.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-const Fields::Names<Effect> effects{
-    {"repeatable", Effect::repeatable}, {"by_key", Effect::by_key}, {"once", Effect::once}};
+const Fields::Names<Idempotency> effects{
+    {"repeatable", Idempotency::always}, {"by_key", Idempotency::with_key}, {"once", Idempotency::never}};
 const Fields::Names<DedupScope> scopes{
     {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}};
 
@@ -86,12 +86,12 @@
     for (std::uint64_t i = 0, count = start.integer("classes.count"); i < count; ++i) {
         const std::string prefix = "classes." + std::to_string(i) + ".";
         RequestClass c;
-        c.effect = start.named(prefix + "effect", effects);
+        c.idempotency = start.named(prefix + "effect", effects);
         if (start.has(prefix + "dedup-scope")) c.dedup_scope = start.named(prefix + "dedup-scope", scopes);
         c.dedup_window = start.number_or(prefix + "dedup-window-ms", c.dedup_window);
-        c.aim = start.number(prefix + "on-time-ms");
-        c.aim_stretch = start.number_or(prefix + "aim-stretch", c.aim_stretch);
-        c.worth = start.number_or(prefix + "credit", c.worth);
+        c.latency_objective = start.number(prefix + "on-time-ms");
+        c.objective_per_effort = start.number_or(prefix + "aim-stretch", c.objective_per_effort);
+        c.priority_weight = start.number_or(prefix + "credit", c.priority_weight);
         const auto only = [&](const std::string& field, auto number) {
             std::optional<std::vector<std::uint32_t>> numbers;
             if (!start.has(field)) return numbers;
@@ -106,24 +106,24 @@
     }
     for (std::uint64_t i = 0, count = start.integer_or("tenants.count", 0); i < count; ++i) {
         const std::string prefix = "tenants." + std::to_string(i) + ".";
-        s.tenant_shares.push_back(start.number(prefix + "share"));
+        s.tenant_quotas.push_back(start.number(prefix + "share"));
         site.tenants.emplace_back(start.text(prefix + "name"));
     }
-    s.over_share_worth = start.number_or("over-share-worth", s.over_share_worth);
-    if (start.has("membership-mode")) s.list_on_request = start.text("membership-mode") == "on_request";
-    s.ask_within = start.number_or("rules.ask-within-ms", s.ask_within);
-    s.siblings = static_cast<std::uint32_t>(start.integer_or("siblings", s.siblings));
+    s.over_quota_weight = start.number_or("over-share-worth", s.over_quota_weight);
+    if (start.has("membership-mode")) s.must_subscribe = start.text("membership-mode") == "on_request";
+    s.resubscribe_within = start.number_or("rules.ask-within-ms", s.resubscribe_within);
+    s.fleet_size = static_cast<std::uint32_t>(start.integer_or("siblings", s.fleet_size));
     s.max_attempts = static_cast<std::uint32_t>(start.integer_or("limits.max-attempts", s.max_attempts));
-    s.parallel_tries = start.flag_or("limits.parallel-tries", s.parallel_tries);
+    s.may_hedge = start.flag_or("limits.parallel-tries", s.may_hedge);
     if (start.flag_or("limits.retry-after", false))
-        s.max_retry_in = start.number_or("limits.max-retry-after-ms", s.max_retry_in);
+        s.max_retry_after = start.number_or("limits.max-retry-after-ms", s.max_retry_after);
     s.may_cancel = start.flag_or("limits.may-cancel", false);
-    s.cold_from = start.number_or("rules.cold-from", s.cold_from);
-    s.fall_multiple = start.number_or("rules.fall-multiple", s.fall_multiple);
-    s.fall_within = start.number_or("rules.fall-ms", s.fall_within);
-    s.saturated_is_no_proof = start.flag_or("rules.busy-is-no-proof", s.saturated_is_no_proof);
-    s.warm_within = start.number_or("rules.warm-within-ms", s.warm_within);
-    s.fees.cross_zone = start.number_or("fees.cross-zone", s.fees.cross_zone);
+    s.slow_start_min_capacity = start.number_or("rules.cold-from", s.slow_start_min_capacity);
+    s.overload_multiple = start.number_or("rules.fall-multiple", s.overload_multiple);
+    s.overload_window = start.number_or("rules.fall-ms", s.overload_window);
+    s.overloaded_may_have_run = start.flag_or("rules.busy-is-no-proof", s.overloaded_may_have_run);
+    s.slow_start_window = start.number_or("rules.warm-within-ms", s.slow_start_window);
+    s.costs.cross_zone = start.number_or("fees.cross-zone", s.costs.cross_zone);
     return site;
 }
 
--- a/src/wire/wire.cpp
+++ b/src/wire/wire.cpp
@@ -9,19 +9,17 @@
 
 namespace {
 
-const Fields::Names<Phase> phases{{"on", Phase::on}, {"fading", Phase::fading}, {"off", Phase::off}};
+const Fields::Names<EndpointState> endpoint_states{
+    {"on", EndpointState::active}, {"fading", EndpointState::draining}, {"off", EndpointState::removed}};
 const Fields::Names<ListKind> list_kinds{{"INCREMENTAL", ListKind::incremental},
                                          {"FULL", ListKind::full},
-                                         {"SAVED", ListKind::saved},
+                                         {"SAVED", ListKind::cached},
                                          {"FAILED", ListKind::failed}};
-const Fields::Names<Outcome> outcomes{{"completed", Outcome::completed},
-                                      {"errored", Outcome::errored},
-                                      {"saturated", Outcome::saturated},
-                                      {"overdue", Outcome::overdue},
-                                      {"refused_conn", Outcome::refused_connection},
-                                      {"severed", Outcome::severed},
-                                      {"recalled", Outcome::recalled},
-                                      {"superseded", Outcome::superseded}};
+const Fields::Names<Outcome> outcomes{
+    {"completed", Outcome::completed},         {"errored", Outcome::failed},
+    {"saturated", Outcome::overloaded},        {"overdue", Outcome::timed_out},
+    {"refused_conn", Outcome::connect_failed}, {"severed", Outcome::connection_lost},
+    {"recalled", Outcome::cancelled},          {"superseded", Outcome::not_sent}};
 
 void add_number(std::string& line, double value) {
     char buffer[40];
@@ -203,7 +201,7 @@
         RequestArrived arrived;
         arrived.time_left = message.number("time-left-ms");
         arrived.effort = message.number_or("effort-ms", 0);
-        arrived.repeat = message.flag_or("repeat", false);
+        arrived.is_retry = message.flag_or("repeat", false);
         arrived.class_index = instance.site.class_index(message.text("grade"));
         if (message.has("realm")) arrived.tenant = instance.site.tenant_index(message.text("realm"));
         const std::string rid(message.text("rid"));
@@ -218,7 +216,7 @@
         const auto hop = gone ? 0 : static_cast<std::uint32_t>(message.integer("hop"));
         if (request == instance.request_ids.end()) return;  // the instance has ended it meanwhile
         const RequestId id = request->second;
-        give(instance, gone ? Event(ClientGone{id}) : Event(FirstByte{id, hop}));
+        give(instance, gone ? Event(ClientDisconnected{id}) : Event(ResponseStarted{id, hop}));
         if (gone) instance.end_request(id);
     } else if (kind == "VERDICT") {
         attempt_ended(instance, message);
@@ -226,8 +224,8 @@
         give(instance, TimerFired{message.integer("nonce")});
     } else if (kind == "HEALTH") {
         const auto server = instance.server_ids.find(std::string(message.text("server")));
-        const ProbeEnded probed{server == instance.server_ids.end() ? 0 : server->second,
-                                read_outcome(message), message.number_or("duration-ms", 0)};
+        const HealthCheckEnded probed{server == instance.server_ids.end() ? 0 : server->second,
+                                      read_outcome(message), message.number_or("duration-ms", 0)};
         if (server != instance.server_ids.end()) give(instance, probed);
     } else {
         give(instance, PeerMessage{static_cast<std::uint32_t>(message.integer("src-peer")),
@@ -251,8 +249,8 @@
         if (entry.has("rack-zone")) e.zone = entry.text("rack-zone");
         if (entry.has("kind")) e.kind = entry.text("kind");
         e.cell = static_cast<std::uint32_t>(entry.integer_or("pod", 0));
-        e.phase = entry.named("phase", phases);
-        e.online_since = entry.number_or("online-since-ms", 0);
+        e.state = entry.named("phase", endpoint_states);
+        e.started_at = entry.number_or("online-since-ms", 0);
         entries.push_back(std::move(e));
     }
     catalogs_[ref] = std::move(entries);
@@ -271,7 +269,7 @@
 }
 
 void Host::list(Instance& instance, const Message& message) {
-    ServerList list{message.named("mode", list_kinds), {}};
+    EndpointList list{message.named("mode", list_kinds), {}};
     if (list.kind != ListKind::failed) {
         const std::uint64_t ref = message.integer("ref");
         if (ref >= catalogs_.size()) message.fail("ref", "is out of range");
@@ -279,9 +277,9 @@
             for (auto& [id, server] : instance.servers) server.listed = false;
         for (const CatalogEntry& e : catalogs_[ref]) {
             const ServerId id = instance.server(e.server);
-            instance.servers[id].listed = e.phase != Phase::off;
-            list.servers.push_back({id, instance.site.zone(e.zone), e.cell, e.phase, e.online_since,
-                                    instance.site.kind(e.kind)});
+            instance.servers[id].listed = e.state != EndpointState::removed;
+            list.servers.push_back(
+                {id, instance.site.zone(e.zone), e.cell, e.state, e.started_at, instance.site.kind(e.kind)});
         }
     }
     give(instance, list);
@@ -334,23 +332,28 @@
         (reply_ += field) += '=';
         add_number(reply_, value);
     };
-    std::visit(Overloaded{[&](const Send& a) {
+    const auto print = [&](ServerId id, std::string_view words) {
+        head("PRINT");
+        reply_ += " words=" + instance.servers.at(id).name + " ";
+        reply_ += words;
+    };
+    std::visit(Overloaded{[&](const SendAttempt& a) {
                               request("DISPATCH", a.id);
                               server(a.server);
-                              time(" try-until-ms", a.try_until);
+                              time(" try-until-ms", a.deadline);
                               ++instance.requests.at(a.id).out;
                               ++instance.servers.at(a.server).out;
                           },
-                          [&](const Cancel& a) {
+                          [&](const CancelAttempt& a) {
                               request("ABANDON", a.id);
                               reply_ += " hop=" + std::to_string(a.attempt);
                           },
-                          [&](const Refuse& a) {
+                          [&](const RejectRequest& a) {
                               request("DECLINE", a.id);
-                              if (a.retry_in > 0) time(" retry-in-ms", a.retry_in);
+                              if (a.retry_after > 0) time(" retry-in-ms", a.retry_after);
                               instance.end_request(a.id);
                           },
-                          [&](const GiveUp& a) {
+                          [&](const FailRequest& a) {
                               request("GIVE_UP", a.id);
                               instance.end_request(a.id);
                           },
@@ -359,9 +362,9 @@
                               time(" at-ms", a.at);
                               reply_ += " nonce=" + std::to_string(a.token);
                           },
-                          [&](const Probe& a) { head("ASK_LOAD"), server(a.server); },
-                          [&](const CloseIdle& a) { head("SHUT_IDLE"), server(a.server); },
-                          [&](const TellPeer& a) {
+                          [&](const HealthCheck& a) { head("ASK_LOAD"), server(a.server); },
+                          [&](const CloseIdleConnections& a) { head("SHUT_IDLE"), server(a.server); },
+                          [&](const SendToPeer& a) {
                               head("WRITE_PEER");
                               reply_ +=
                                   " dst=" + (a.to ? std::to_string(*a.to) : std::string("all")) + " msg=";
@@ -371,12 +374,8 @@
                               head("SUBSCRIBE");
                               reply_ += a.active ? " active=1" : " active=0";
                           },
-                          [&](const Log& a) {
-                              head("PRINT");
-                              reply_ += " words=";
-                              if (a.server) reply_ += instance.servers.at(*a.server).name + " ";
-                              for (const char c : a.text) reply_ += c == '\n' || c == '\r' ? ' ' : c;
-                          }},
+                          [&](const EndpointEjected& a) { print(a.server, "removed from the pool"); },
+                          [&](const EndpointRestored& a) { print(a.server, "restored after a trial"); }},
                action);
     reply_ += '\n';
 }
--- a/src/wire/wire.hpp
+++ b/src/wire/wire.hpp
@@ -40,8 +40,8 @@
     std::string zone;
     std::string kind;
     std::uint32_t cell = 0;
-    Phase phase = Phase::on;
-    Millis online_since = 0;
+    EndpointState state = EndpointState::active;
+    Millis started_at = 0;
 };
 
 // Runs until the end of input; returns the process's exit status.
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -58,8 +58,8 @@
 
 // The first of `count` servers has just started.
 void restart_first(Rig& rig, ServerId count) {
-    std::vector<ServerInfo> servers = make_servers(count);
-    servers[0].online_since = rig.now;
+    std::vector<EndpointInfo> servers = make_servers(count);
+    servers[0].started_at = rig.now;
     rig.list(ListKind::full, servers);
 }
 
@@ -69,18 +69,18 @@
 // One of so many sidecars, which knows `count` servers.
 Rig among(std::uint32_t siblings, ServerId count) {
     Settings s = make_settings();
-    s.siblings = siblings;
+    s.fleet_size = siblings;
     Rig rig(s);
     rig.list(ListKind::full, make_servers(count));
     return rig;
 }
 
-Settings once_settings() { return make_settings({make_class(Effect::once)}); }
+Settings once_settings() { return make_settings({make_class(Idempotency::never)}); }
 
 TEST(Verdict, ServerThatFailsIsRemovedAndOthersServe) {
     Rig rig(once_settings());
     rig.list(ListKind::full, make_servers(4));
-    drive(rig, 60, 2, Outcome::errored);
+    drive(rig, 60, 2, Outcome::failed);
     EXPECT_EQ(share_to(rig, 100, 2), 0);
 }
 
@@ -88,7 +88,7 @@
     for (const int failures : {2, 3}) {
         Rig rig(once_settings());
         rig.list(ListKind::full, make_servers(2));
-        EXPECT_EQ(drive(rig, 60, 2, Outcome::errored, failures), failures);
+        EXPECT_EQ(drive(rig, 60, 2, Outcome::failed, failures), failures);
         EXPECT_EQ(reach(rig, 60, 2) == 0, failures == 3) << failures;
     }
 }
@@ -98,7 +98,7 @@
     rig.list(ListKind::full, make_servers(2));
     // Two failures, then more than twenty successes, three times over.
     for (int round = 0; round < 3; ++round) {
-        EXPECT_EQ(drive(rig, 60, 2, Outcome::errored, 2), 2);
+        EXPECT_EQ(drive(rig, 60, 2, Outcome::failed, 2), 2);
         EXPECT_GT(reach(rig, 150, 2), 20) << round;
     }
 }
@@ -107,7 +107,7 @@
     Rig rig(make_settings());
     rig.list(ListKind::full, make_servers(6));
     drive(rig, 240, 0, Outcome::completed);
-    for (int i = 0; i < 200; ++i) one(rig, i % 2 ? Outcome::rejected : Outcome::completed);
+    for (int i = 0; i < 200; ++i) one(rig, i % 2 ? Outcome::invalid_request : Outcome::completed);
     EXPECT_EQ(rig.removals(), 0);
 }
 
@@ -117,8 +117,8 @@
     for (int i = 0; i < 60; ++i) {
         const RequestId id = rig.request();
         rig.requests.at(id).gone = true;
-        rig.give(ClientGone{id});
-        rig.end(id, i % 2 ? Outcome::recalled : Outcome::superseded, 10);
+        rig.give(ClientDisconnected{id});
+        rig.end(id, i % 2 ? Outcome::cancelled : Outcome::not_sent, 10);
     }
     EXPECT_GT(share_to(rig, 100, 1), 20);
     EXPECT_GT(share_to(rig, 100, 2), 20);
@@ -126,7 +126,7 @@
 
 // One class fails at one server; the other class is served there.
 TEST(Shun, AClassLeavesAServerThatFailsItAndTheOthersKeepIt) {
-    Rig rig(make_settings({make_class(Effect::once), make_class(Effect::once)}));
+    Rig rig(make_settings({make_class(Idempotency::never), make_class(Idempotency::never)}));
     rig.list(ListKind::full, make_servers(3));
     int failed = 0, served_there = 0;
     for (int i = 0; i < 120; ++i) {
@@ -135,7 +135,7 @@
         const bool fails = kind == 0 && rig.where(id) == 1;
         failed += fails;
         served_there += kind == 1 && rig.where(id) == 1;
-        rig.end(id, fails ? Outcome::errored : Outcome::completed, 60);
+        rig.end(id, fails ? Outcome::failed : Outcome::completed, 60);
     }
     EXPECT_EQ(failed, 1) << "7.2 s are less than a backoff";
     EXPECT_GT(served_there, 10);
@@ -150,33 +150,33 @@
 }
 
 TEST(Shun, WhoNobodyElseMayReplaceIsStillUsed) {
-    Rig rig(make_settings({make_class(Effect::once)}));
+    Rig rig(make_settings({make_class(Idempotency::never)}));
     rig.list(ListKind::full, make_servers(1));
     for (int i = 0; i < 5; ++i) {
         const RequestId id = rig.request();
         EXPECT_EQ(rig.sends(id), 1U);
-        rig.end(id, Outcome::errored);
+        rig.end(id, Outcome::failed);
     }
 }
 
 TEST(Trial, SuccessRestoresWithAFreshWindowFailureStartsAnotherBackoff) {
     Rig rig(once_settings());
     rig.list(ListKind::full, make_servers(3));
-    drive(rig, 60, 2, Outcome::errored);
+    drive(rig, 60, 2, Outcome::failed);
     rig.now += 9000;
     EXPECT_EQ(share_to(rig, 20, 2), 0) << "still within the backoff";
     rig.now += 1500;
     const RequestId trial = rig.request();
     ASSERT_EQ(rig.where(trial), 2U) << "one real request is the trial";
     EXPECT_EQ(share_to(rig, 20, 2), 0) << "and only one";
-    rig.end(trial, Outcome::errored);
+    rig.end(trial, Outcome::failed);
     EXPECT_EQ(share_to(rig, 20, 2), 0);
     rig.now += 10000;
     const RequestId again = rig.request();
     ASSERT_EQ(rig.where(again), 2U);
     rig.end(again, Outcome::completed, 5);  // quick, so that it wins ties
     EXPECT_GT(share_to(rig, 60, 2), 5);
-    drive(rig, 3, 2, Outcome::errored);  // fresh: the old failures don't count on
+    drive(rig, 3, 2, Outcome::failed);  // fresh: the old failures don't count on
     widen(rig, 6);
     EXPECT_GT(share_to(rig, 60, 2), 0);
 }
@@ -185,7 +185,7 @@
 Rig removed_and_due() {
     Rig rig(once_settings());
     rig.list(ListKind::full, make_servers(3));
-    drive(rig, 60, 2, Outcome::errored);
+    drive(rig, 60, 2, Outcome::failed);
     rig.now += 10500;
     return rig;
 }
@@ -195,8 +195,8 @@
     const RequestId trial = rig.request();
     ASSERT_EQ(rig.where(trial), 2U);
     rig.requests.at(trial).gone = true;
-    rig.give(ClientGone{trial});
-    rig.end(trial, Outcome::recalled);
+    rig.give(ClientDisconnected{trial});
+    rig.end(trial, Outcome::cancelled);
     EXPECT_EQ(rig.where(rig.request()), 2U);
 }
 
@@ -204,7 +204,7 @@
     Rig rig = removed_and_due();
     const RequestId trial = rig.request();
     ASSERT_EQ(rig.where(trial), 2U);
-    rig.list(ListKind::incremental, {{2, 0, 0, Phase::fading, 0}});
+    rig.list(ListKind::incremental, {{2, 0, 0, EndpointState::draining, 0}});
     rig.end(trial, Outcome::completed);
     EXPECT_EQ(share_to(rig, 60, 2), 0);
 }
@@ -233,9 +233,9 @@
 // Class 1 is worth more and may only go to zone 0: class 0 keeps out while it is served elsewhere.
 TEST(Placement, ServersOfAConfinedClassAreLeftToItByWhoMayGoElsewhere) {
     for (const bool crowded : {false, true}) {
-        Settings s = make_settings({make_class(Effect::repeatable), make_class(Effect::repeatable)});
+        Settings s = make_settings({make_class(Idempotency::always), make_class(Idempotency::always)});
         s.classes[1].zones = {{0}};
-        s.classes[1].worth = 5;
+        s.classes[1].priority_weight = 5;
         Rig rig(s);
         rig.list(ListKind::full, make_servers(9));
         int inside = 0;
@@ -256,7 +256,7 @@
 TEST(Panic, AtMostHalfOfThePoolIsRemoved) {
     Rig rig(once_settings());
     rig.list(ListKind::full, make_servers(4));
-    for (ServerId bad = 1; bad <= 3; ++bad) drive(rig, 60, bad, Outcome::errored);
+    for (ServerId bad = 1; bad <= 3; ++bad) drive(rig, 60, bad, Outcome::failed);
     EXPECT_EQ(rig.removals(), 2);
 }
 
@@ -266,7 +266,7 @@
     s.classes[0].zones = {{1}};
     Rig rig(s);
     rig.list(ListKind::full, make_servers(12));  // four of them in zone 1
-    for (const ServerId bad : {1U, 4U, 7U}) drive(rig, 60, bad, Outcome::errored);
+    for (const ServerId bad : {1U, 4U, 7U}) drive(rig, 60, bad, Outcome::failed);
     EXPECT_EQ(rig.removals(), 2);
 }
 
@@ -304,7 +304,7 @@
         const RequestId id = rig.request();
         const bool dead = rig.where(id) == 3;
         lost += dead;
-        rig.end(id, dead ? Outcome::overdue : Outcome::completed, dead ? 1000 : 10);
+        rig.end(id, dead ? Outcome::timed_out : Outcome::completed, dead ? 1000 : 10);
     }
     EXPECT_EQ(lost, 1);
 }
@@ -312,7 +312,7 @@
 TEST(Silence, IsNoVerdictWhileMostAttemptsRunOut) {
     Rig rig(once_settings());
     rig.list(ListKind::full, make_servers(8));
-    for (int i = 0; i < 60; ++i) one(rig, Outcome::overdue, 1000);
+    for (int i = 0; i < 60; ++i) one(rig, Outcome::timed_out, 1000);
     EXPECT_LE(rig.removals(), 3) << "the first seven, by two";
 }
 
@@ -358,8 +358,8 @@
 
 // Found on brabant-core: in overload all classes were refused alike.
 TEST(Admission, TheClassWorthMostFindsRoomWhenOthersDoNot) {
-    RequestClass cheap = make_class(Effect::repeatable), dear = make_class(Effect::once);
-    dear.worth = 8;
+    RequestClass cheap = make_class(Idempotency::always), dear = make_class(Idempotency::never);
+    dear.priority_weight = 8;
     Rig rig(make_settings({cheap, dear}));
     rig.list(ListKind::full, make_servers(10));
     crowd(rig);
@@ -382,8 +382,8 @@
 // Nine of ten requests come from one of two tenants with equal shares, into a pool that answers late.
 TEST(Fairness, ATenantBeyondItsShareStarvesNobody) {
     Settings s = make_settings();
-    s.tenant_shares = {0.5, 0.5};
-    s.over_share_worth = 0.1;
+    s.tenant_quotas = {0.5, 0.5};
+    s.over_quota_weight = 0.1;
     Rig rig(s);
     rig.list(ListKind::full, make_servers(4));
     int sent[2] = {0, 0}, came[2] = {0, 0};
@@ -421,7 +421,7 @@
     rig.list(ListKind::full, make_servers(1));
     std::vector<RequestId> order;
     for (const Action& a : rig.last)
-        if (const auto* send = std::get_if<Send>(&a)) order.push_back(send->id);
+        if (const auto* send = std::get_if<SendAttempt>(&a)) order.push_back(send->id);
     EXPECT_EQ(order, (std::vector<RequestId>{newer, older}));
 }
 
@@ -526,8 +526,8 @@
 // Found on page5416: of answers that vary, ten in a row often lie above the mark though their mean lies below
 // it. Each time the room was cut to what was out, and half of all requests were refused by idle servers.
 TEST(Admission, AnswersThatVaryAroundAMeanBelowTheMarkKeepTheRoomOpen) {
-    RequestClass cheap = make_class(Effect::repeatable), dear = make_class(Effect::once);
-    dear.worth = 3;
+    RequestClass cheap = make_class(Idempotency::always), dear = make_class(Idempotency::never);
+    dear.priority_weight = 3;
     EXPECT_LT(refused_in_a_calm(make_settings({cheap, dear}), ~0U, 350), 50);
 }
 
@@ -535,18 +535,18 @@
 // chance for seconds on end.
 TEST(Admission, ALightSidecarIsNotCutByTheScatterOfItsMean) {
     Settings s = make_settings();
-    s.siblings = 100;
+    s.fleet_size = 100;
     EXPECT_LT(refused_in_a_calm(s, ~0U, 430, 40), 30);
 }
 
 // Found on page7946: a sidecar sees a tenant far more than its share of the service where that tenant's
 // copies of the application are. In a calm it was left a tenth of a room that is about twice what is out.
 TEST(Fairness, WithoutACrowdATenantBeyondItsShareIsServed) {
-    RequestClass cheap = make_class(Effect::repeatable), dear = make_class(Effect::once);
-    dear.worth = 3;
+    RequestClass cheap = make_class(Idempotency::always), dear = make_class(Idempotency::never);
+    dear.priority_weight = 3;
     Settings s = make_settings({cheap, dear});
-    s.tenant_shares = {0.2, 0.8};
-    s.over_share_worth = 0.1;
+    s.tenant_quotas = {0.2, 0.8};
+    s.over_quota_weight = 0.1;
     EXPECT_LT(refused_in_a_calm(s, 0, 300), 50);
 }
 
@@ -586,8 +586,8 @@
             const RequestId id = rig.request();
             rig.end(id, Outcome::completed, rig.where(id) % 2 ? 300 : 30);
         }
-        std::vector<ServerInfo> others;
-        for (ServerId id = 11; id <= 16; ++id) others.push_back({id, 0, 0, Phase::on, 0, id % 2});
+        std::vector<EndpointInfo> others;
+        for (ServerId id = 11; id <= 16; ++id) others.push_back({id, 0, 0, EndpointState::active, 0, id % 2});
         rig.list(ListKind::full, others);
         ++(rig.where(rig.request()) % 2 ? slow : quick);
     }
@@ -597,7 +597,7 @@
 TEST(Pick, EqualCountsAreWonByTheOwnZoneWhereCrossingCosts) {
     for (const double fee : {0.0, 0.08}) {
         Settings s = once_settings();
-        s.fees.cross_zone = fee;
+        s.costs.cross_zone = fee;
         s.my_zone = 1;
         Rig rig(s);
         rig.list(ListKind::full, make_servers(9));
@@ -614,15 +614,15 @@
     std::size_t sends = 0;
     for (int i = 0; i < 300; ++i) {
         const RequestId id = rig.request();
-        while (rig.out(id)) rig.end(id, Outcome::saturated, 1);
+        while (rig.out(id)) rig.end(id, Outcome::overloaded, 1);
         sends += rig.sends(id);
     }
     EXPECT_LT(sends, 300 * 1.25 + 10);
 }
 
 TEST(Retry, WhatNeverRanIsSentElsewhere) {
-    for (const Effect effect : {Effect::repeatable, Effect::by_key, Effect::once}) {
-        for (const Outcome outcome : {Outcome::saturated, Outcome::refused_connection}) {
+    for (const Idempotency effect : {Idempotency::always, Idempotency::with_key, Idempotency::never}) {
+        for (const Outcome outcome : {Outcome::overloaded, Outcome::connect_failed}) {
             Rig rig(make_settings({make_class(effect)}));
             rig.list(ListKind::full, make_servers(3));
             const RequestId id = rig.request();
@@ -676,7 +676,7 @@
         const RequestId id = rig.request();
         while (rig.out(id)) {
             hits += rig.where(id) == 1;
-            rig.end(id, Outcome::saturated, 0);
+            rig.end(id, Outcome::overloaded, 0);
         }
     }
     EXPECT_LT(hits, 30);
@@ -686,7 +686,7 @@
 // them was four times what a server just started can do.
 TEST(Cold, TheLeastFeedOfAThousandSidecarsIsAFewTrials) {
     Settings s = make_settings();
-    s.siblings = 1000;
+    s.fleet_size = 1000;
     int hits = 0;
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         Rig rig(s, seed);
@@ -718,18 +718,18 @@
     EXPECT_EQ(feeding(1000, false), feeding(1, true));
 }
 
-std::vector<ServerInfo> hashed_servers(ServerId count) {
-    std::vector<ServerInfo> servers = make_servers(count);
-    for (ServerInfo& s : servers) s.hash = 1000 + s.id;
+std::vector<EndpointInfo> hashed_servers(ServerId count) {
+    std::vector<EndpointInfo> servers = make_servers(count);
+    for (EndpointInfo& s : servers) s.name_hash = 1000 + s.id;
     return servers;
 }
 ServerId home_of(Rig& rig, std::uint64_t key) {
     const RequestId id = rig.next_id++;
-    rig.requests[id] = {make_class(Effect::repeatable), 0, rig.now + 1000, {}, 0, false, false};
+    rig.requests[id] = {make_class(Idempotency::always), 0, rig.now + 1000, {}, 0, false, false};
     RequestArrived event;
     event.id = id;
     event.time_left = 1000;
-    event.affinity = key;
+    event.affinity_hash = key;
     rig.give(event);
     const ServerId server = rig.where(id);
     rig.end(id, Outcome::completed, 5);
@@ -737,16 +737,16 @@
 }
 
 TEST(Affinity, OneServerOfThirtyTwoMovesItsOwnKeysOnlyWhenItLeaves) {
-    Rig rig(make_settings({make_class(Effect::repeatable)})), other(rig.settings, 99);
+    Rig rig(make_settings({make_class(Idempotency::always)})), other(rig.settings, 99);
     for (Rig* r : {&rig, &other}) r->list(ListKind::full, hashed_servers(32));
     std::map<std::uint64_t, ServerId> before;
     for (std::uint64_t key = 1; key <= 2000; ++key) {
         before[key] = home_of(rig, key);
         ASSERT_EQ(home_of(other, key), before[key]) << key;  // whatever its own random draws
     }
-    std::vector<ServerInfo> servers = hashed_servers(32);
+    std::vector<EndpointInfo> servers = hashed_servers(32);
     const ServerId gone = before[1];
-    std::erase_if(servers, [&](const ServerInfo& s) { return s.id == gone; });
+    std::erase_if(servers, [&](const EndpointInfo& s) { return s.id == gone; });
     rig.list(ListKind::full, servers);
     int moved = 0;
     for (const auto& [key, server] : before) {
@@ -779,7 +779,7 @@
         const RequestId id = rig.request();
         const bool fail = rig.where(id) > 6;  // four of five servers
         failed += fail;
-        rig.end(id, fail ? Outcome::errored : Outcome::completed, 20);
+        rig.end(id, fail ? Outcome::failed : Outcome::completed, 20);
     }
     EXPECT_LT(failed, 40);
 }
@@ -788,12 +788,12 @@
 // was fed.
 TEST(Cold, AGrownFleetIsFedByWhatAWarmServerDoes) {
     Settings s = make_settings();
-    s.fall_multiple = 1;  // just its share: more would hide whose mean it is a share of
+    s.overload_multiple = 1;  // just its share: more would hide whose mean it is a share of
     Rig rig(s);
     rig.list(ListKind::full, make_servers(2));
     for (int i = 0; i < 300; ++i) one(rig, Outcome::completed, 10);
-    std::vector<ServerInfo> servers = make_servers(20, rig.now);
-    servers[0].online_since = servers[1].online_since = 0;
+    std::vector<EndpointInfo> servers = make_servers(20, rig.now);
+    servers[0].started_at = servers[1].started_at = 0;
     rig.list(ListKind::full, servers);
     int cold = 0;
     for (int i = 0; i < 1200; ++i) {
@@ -809,7 +809,7 @@
     int hits[2] = {};
     for (const bool late : {false, true}) {
         Settings s = make_settings();
-        s.fall_multiple = 3;
+        s.overload_multiple = 3;
         Rig rig(s);
         rig.list(ListKind::full, make_servers(4));
         for (int i = 0; i < 500; ++i) one(rig, Outcome::completed, 10);
@@ -882,21 +882,22 @@
 
 TEST(Lists, AbsentFromAFullListIsGoneAndAnIncrementKeepsTheRest) {
     Rig rig(make_settings());
-    rig.list(ListKind::saved, make_servers(4));
+    rig.list(ListKind::cached, make_servers(4));
     rig.list(ListKind::full, make_servers(2));
     for (int i = 0; i < 50; ++i) EXPECT_LE(one(rig, Outcome::completed, 5), 2U);
-    rig.list(ListKind::incremental, {{2, 0, 0, Phase::off, 0}, {5, 0, 0, Phase::on, 0}});
+    rig.list(ListKind::incremental,
+             {{2, 0, 0, EndpointState::removed, 0}, {5, 0, 0, EndpointState::active, 0}});
     std::set<ServerId> used;
     for (int i = 0; i < 50; ++i) used.insert(one(rig, Outcome::completed, 5));
     EXPECT_EQ(used, (std::set<ServerId>{1, 5}));
-    EXPECT_EQ(rig.balancer.held().servers, 2U);
+    EXPECT_EQ(rig.balancer.gauges().servers, 2U);
 }
 
 TEST(Lists, RestartUnderTheSameIdDuringBackoffStartsAnew) {
     Rig rig(once_settings());
     rig.list(ListKind::full, make_servers(3));
-    drive(rig, 60, 2, Outcome::errored);
-    rig.list(ListKind::incremental, {{2, 0, 0, Phase::on, rig.now - 19999}});
+    drive(rig, 60, 2, Outcome::failed);
+    rig.list(ListKind::incremental, {{2, 0, 0, EndpointState::active, rig.now - 19999}});
     rig.now += 10;
     widen(rig, 10);
     EXPECT_GT(reach(rig, 60, 2), 0);
@@ -916,10 +917,10 @@
     rig.settle();
 }
 
-Settings asking_settings(Millis ask_within) {
+Settings asking_settings(Millis resubscribe_within) {
     Settings s = make_settings();
-    s.list_on_request = true;
-    s.ask_within = ask_within;
+    s.must_subscribe = true;
+    s.resubscribe_within = resubscribe_within;
     return s;
 }
 
@@ -930,7 +931,7 @@
         Rig rig(s, seed);
         rig.give(Started{});
         EXPECT_EQ(rig.count<Subscribe>(), 1);
-        rig.list(ListKind::saved, make_servers(2));
+        rig.list(ListKind::cached, make_servers(2));
         rig.list(ListKind::failed, {});
         ASSERT_EQ(rig.timers.size(), 1U);
         waits.insert(rig.timers.begin()->first);
@@ -950,13 +951,13 @@
     explicit Waits(std::uint32_t siblings) : rig(settings(siblings)) { rig.give(Started{}); }
     static Settings settings(std::uint32_t siblings) {
         Settings s = asking_settings(10000);
-        s.siblings = siblings;
+        s.fleet_size = siblings;
         return s;
     }
-    Millis after(std::optional<Millis> told_within, ListFailure failure = ListFailure::turned_away,
+    Millis after(std::optional<Millis> notified_within, ListFailure failure = ListFailure::rejected,
                  std::optional<Millis> retry_after = {}) {
         rig.timers.clear();
-        rig.give(ServerList{ListKind::failed, {}, told_within, failure, retry_after});
+        rig.give(EndpointList{ListKind::failed, {}, notified_within, failure, retry_after});
         return rig.timers.begin()->first - rig.now;
     }
 };
@@ -999,7 +1000,7 @@
 }
 
 TEST(Lists, WatchSilentOrBroken_firstFailure_nextCallComesSoon) {
-    for (const ListFailure failure : {ListFailure::silent, ListFailure::broken}) {
+    for (const ListFailure failure : {ListFailure::timed_out, ListFailure::broken}) {
         Waits waits(350);
         EXPECT_LE(waits.after(4000, failure), 300);
     }
@@ -1025,9 +1026,9 @@
 
 TEST(Lists, RetryAfter_isKeptToWithinReason) {
     Waits waits(350);
-    EXPECT_GE(waits.after(4000, ListFailure::turned_away, 3000), 3000);
-    EXPECT_LE(waits.after(4000, ListFailure::turned_away, 3000), 4000);
-    EXPECT_LE(waits.after(4000, ListFailure::turned_away, 3600000), 10000);
+    EXPECT_GE(waits.after(4000, ListFailure::rejected, 3000), 3000);
+    EXPECT_LE(waits.after(4000, ListFailure::rejected, 3000), 4000);
+    EXPECT_LE(waits.after(4000, ListFailure::rejected, 3600000), 10000);
 }
 
 // ---- The rest -------------------------------------------------------------------------------------------
@@ -1039,7 +1040,7 @@
     for (int i = 0; i < 10; ++i) {
         rig.list(ListKind::failed, {});
         const Millis at = rig.timers.begin()->first;
-        EXPECT_LE(at, rig.now + s.ask_within);
+        EXPECT_LE(at, rig.now + s.resubscribe_within);
         const TimerToken token = rig.timers.begin()->second;
         rig.timers.clear();
         rig.now = at;
@@ -1061,19 +1062,24 @@
     };
     EXPECT_EQ(complaint([](Settings&) {}), "");
     EXPECT_NE(complaint([](Settings& s) { s.classes.clear(); }).find("classes"), std::string::npos);
-    EXPECT_NE(complaint([](Settings& s) { s.classes[0].aim = 0; }).find("classes[0].aim"), std::string::npos);
-    EXPECT_NE(complaint([](Settings& s) { s.classes[0].aim = NAN; }).find("aim"), std::string::npos);
-    EXPECT_NE(complaint([](Settings& s) { s.classes[0].worth = -1; }).find("worth"), std::string::npos);
-    EXPECT_NE(complaint([](Settings& s) { s.cold_from = -0.1; }).find("cold_from"), std::string::npos);
-    EXPECT_NE(complaint([](Settings& s) { s.warm_within = INFINITY; }).find("warm_within"),
+    EXPECT_NE(complaint([](Settings& s) { s.classes[0].latency_objective = 0; }).find("classes[0].aim"),
+              std::string::npos);
+    EXPECT_NE(complaint([](Settings& s) { s.classes[0].latency_objective = NAN; }).find("aim"),
+              std::string::npos);
+    EXPECT_NE(complaint([](Settings& s) { s.classes[0].priority_weight = -1; }).find("worth"),
+              std::string::npos);
+    EXPECT_NE(complaint([](Settings& s) { s.slow_start_min_capacity = -0.1; }).find("cold_from"),
+              std::string::npos);
+    EXPECT_NE(complaint([](Settings& s) { s.slow_start_window = INFINITY; }).find("warm_within"),
               std::string::npos);
     EXPECT_NE(complaint([](Settings& s) { s.classes[0].zones.emplace(); }).find("zones"), std::string::npos);
     EXPECT_NE(complaint([](Settings& s) { s.classes[0].kinds.emplace(); }).find("kinds"), std::string::npos);
-    EXPECT_NE(complaint([](Settings& s) { s.ask_within = -1; }).find("ask_within"), std::string::npos);
-    EXPECT_NE(complaint([](Settings& s) { s.tenant_shares = {-1}; }).find("tenant_shares"),
+    EXPECT_NE(complaint([](Settings& s) { s.resubscribe_within = -1; }).find("ask_within"),
+              std::string::npos);
+    EXPECT_NE(complaint([](Settings& s) { s.tenant_quotas = {-1}; }).find("tenant_shares"),
               std::string::npos);
-    EXPECT_NE(complaint([](Settings& s) { s.over_share_worth = 2; }).find("over_share"), std::string::npos);
-    EXPECT_NE(complaint([](Settings& s) { s.siblings = 0; }).find("siblings"), std::string::npos);
+    EXPECT_NE(complaint([](Settings& s) { s.over_quota_weight = 2; }).find("over_share"), std::string::npos);
+    EXPECT_NE(complaint([](Settings& s) { s.fleet_size = 0; }).find("siblings"), std::string::npos);
     EXPECT_NE(complaint([](Settings& s) { s.max_attempts = 0; }).find("max_attempts"), std::string::npos);
 }
 
@@ -1081,16 +1087,16 @@
     Rig rig(make_settings());
     rig.list(ListKind::full, make_servers(2));
     for (const Event& event :
-         std::vector<Event>{AttemptEnded{77, 0, Outcome::errored, 1, false}, ClientGone{77}, FirstByte{77, 3},
-                            TimerFired{999}, ProbeEnded{55}, PeerMessage{}}) {
+         std::vector<Event>{AttemptEnded{77, 0, Outcome::failed, 1, false}, ClientDisconnected{77},
+                            ResponseStarted{77, 3}, TimerFired{999}, HealthCheckEnded{55}, PeerMessage{}}) {
         rig.give(event);
         EXPECT_TRUE(rig.last.empty());
     }
     const RequestId id = rig.request();
-    rig.give(AttemptEnded{id, 9, Outcome::errored, 1, false});
+    rig.give(AttemptEnded{id, 9, Outcome::failed, 1, false});
     EXPECT_TRUE(rig.last.empty());
     rig.end(id, Outcome::completed);
-    rig.give(AttemptEnded{id, 0, Outcome::errored, 1, false});
+    rig.give(AttemptEnded{id, 0, Outcome::failed, 1, false});
     EXPECT_TRUE(rig.last.empty());
 }
 
@@ -1101,8 +1107,8 @@
     const RequestId id = rig.request();
     rig.now += 600000;
     rig.requests.at(id).gone = true;
-    rig.give(ClientGone{id});
-    rig.end(id, Outcome::overdue, 0);
+    rig.give(ClientDisconnected{id});
+    rig.end(id, Outcome::timed_out, 0);
     EXPECT_GT(one(rig, Outcome::completed, 10), 0U);
 }
 
@@ -1110,15 +1116,15 @@
 // window.
 TEST(Reach, OneFailedConnectionRemovesAServerForAllClassesWhereOthersAnswer) {
     for (const bool others : {true, false}) {
-        Settings s = make_settings({make_class(Effect::repeatable), make_class(Effect::repeatable)});
-        s.siblings = 100;
+        Settings s = make_settings({make_class(Idempotency::always), make_class(Idempotency::always)});
+        s.fleet_size = 100;
         Rig rig(s);
         rig.list(ListKind::full, make_servers(20));
         const RequestId first = rig.request(0), second = rig.request(0);
         const ServerId bad = rig.where(first);
         ASSERT_NE(bad, rig.where(second));
         if (others) rig.end(second, Outcome::completed);
-        rig.end(first, Outcome::refused_connection);
+        rig.end(first, Outcome::connect_failed);
         EXPECT_EQ(rig.removals(), others ? 1 : 0);
         if (!others) continue;
         for (int i = 0; i < 200; ++i) EXPECT_NE(one(rig, Outcome::completed, 10, 1), bad);
@@ -1131,7 +1137,7 @@
     for (int i = 0; i < 40; ++i) {
         const RequestId other = rig.request(), id = rig.request();
         rig.end(other, Outcome::completed);
-        if (rig.out(id)) rig.end(id, Outcome::superseded);
+        if (rig.out(id)) rig.end(id, Outcome::not_sent);
         if (rig.out(id)) rig.end(id, Outcome::completed);
     }
     EXPECT_EQ(rig.removals(), 0);
@@ -1155,7 +1161,7 @@
         for (const RequestId id = rig.request(); rig.out(id);) {
             const bool lost = rig.where(id) % 3 == 1;
             failed += lost;
-            rig.end(id, lost ? Outcome::refused_connection : Outcome::completed, 5);
+            rig.end(id, lost ? Outcome::connect_failed : Outcome::completed, 5);
         }
     return failed;
 }
@@ -1169,10 +1175,10 @@
 TEST(Reach, OfALostZoneWhatHasStartedSinceIsUsedAndTheRestIsNot) {
     Rig rig = among(100, 60);
     lose_zone_1(rig);
-    std::vector<ServerInfo> servers = make_servers(60);
+    std::vector<EndpointInfo> servers = make_servers(60);
     const auto back = [](ServerId id) { return id % 3 == 1 && id < 30; };
-    for (ServerInfo& s : servers)
-        if (back(s.id)) s.online_since = rig.now;
+    for (EndpointInfo& s : servers)
+        if (back(s.id)) s.started_at = rig.now;
     rig.now += 4000;
     rig.list(ListKind::full, servers);
     int there = 0, rest = 0;
@@ -1221,7 +1227,7 @@
     for (const RequestId id : rig.burst(60, 5000))
         while (rig.out(id)) {
             const bool lost = rig.where(id) % 3 != 0;
-            rig.end(id, lost ? Outcome::refused_connection : Outcome::completed, 1);
+            rig.end(id, lost ? Outcome::connect_failed : Outcome::completed, 1);
         }
     EXPECT_LE(rig.still_out(rig.burst(100, 5000)), 45);  // one zone after the other was found lost
 }
@@ -1232,17 +1238,17 @@
     Rig rig = among(2, 12);
     for (int i = 0; i < 100; ++i) rig.serve(rig.burst(20, 5000), 100);
     for (ServerId n = 1; n <= 6; ++n) {
-        std::vector<ServerInfo> gone = {make_servers(n).back()};
-        gone[0].phase = Phase::fading;
+        std::vector<EndpointInfo> gone = {make_servers(n).back()};
+        gone[0].state = EndpointState::draining;
         rig.list(ListKind::incremental, gone);
         rig.now += 150;
         const std::vector<RequestId> ids = rig.burst(20, 5000);
         EXPECT_EQ(rig.still_out(ids), 20) << n;
         rig.serve(ids, 100);
     }
-    std::vector<ServerInfo> gone = make_servers(10);
+    std::vector<EndpointInfo> gone = make_servers(10);
     gone.erase(gone.begin(), gone.begin() + 6);
-    for (ServerInfo& s : gone) s.phase = Phase::fading;
+    for (EndpointInfo& s : gone) s.state = EndpointState::draining;
     rig.list(ListKind::incremental, gone);
     rig.now += 150;
     EXPECT_LT(rig.still_out(rig.burst(20, 5000)), 18);
@@ -1253,7 +1259,7 @@
     int sent = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         Settings s = make_settings();
-        s.siblings = 100;
+        s.fleet_size = 100;
         Rig rig(s, seed);
         rig.list(ListKind::full, make_servers(4));
         for (int i = 0; i < 200; ++i) rig.serve(rig.burst(2), 50);
@@ -1281,7 +1287,7 @@
 // Found on reading: with no warm-up time the share of a server that starts in the future was no number.
 TEST(Cold, WithoutAWarmUpTimeNobodyIsCold) {
     Settings s = make_settings();
-    s.warm_within = 0;
+    s.slow_start_window = 0;
     Rig rig(s);
     rig.list(ListKind::full, make_servers(2, rig.now + 1000));
     EXPECT_TRUE(rig.out(rig.request()));
@@ -1291,12 +1297,12 @@
     Rig rig(make_settings());
     rig.list(ListKind::full, make_servers(2));
     const RequestId id = rig.request(0, 1000);
-    rig.give(FirstByte{id, 0});
+    rig.give(ResponseStarted{id, 0});
     rig.requests.at(id).sent[0].until = 1e12;
     rig.pass(5000);
     EXPECT_EQ(rig.requests.at(id).answers, 0);
     rig.end(id, Outcome::completed);
-    EXPECT_EQ(rig.balancer.held().requests, 0U);
+    EXPECT_EQ(rig.balancer.gauges().requests, 0U);
 }
 
 }  // namespace
--- a/tests/clock_step_test.cpp
+++ b/tests/clock_step_test.cpp
@@ -27,7 +27,7 @@
 // A sidecar whose wall clock the test steps. Server a started long ago.
 struct ClockStepRig : NetRig {
     Millis step = 0;  // of this machine's wall clock so far
-    Millis warm_within = 20 * kSecond;
+    Millis slow_start_window = 20 * kSecond;
 
     // Whether the application, asking for much more than a cold server may have, has b serve a warm one's
     // share. By chance a warm one gets about half of it, a cold one the token it may begin with.
@@ -44,7 +44,8 @@
     }
     void start_stepped(const std::string& known) {
         std::string text = config_json(agent.address(), known);
-        text = replaced(text, "\"warm-within-ms\":20000.0", "\"warm-within-ms\":" + written_ms(warm_within));
+        text = replaced(text, "\"warm-within-ms\":20000.0",
+                        "\"warm-within-ms\":" + written_ms(slow_start_window));
         Config config = read_config(text);
         config.read_wall_clock = [this] { return read_system_clock() + step; };
         sidecar.emplace(io, std::move(config));
@@ -72,11 +73,11 @@
         b.script = [](const auto&) { return Reply{response("500 Internal Server Error")}; };
         const std::vector<std::string> classes{"listen", "annotate", "deposit"};
         TestClient& application = client();
-        for (std::size_t i = 0; i < 200 && sidecar->held().avoided == 0; ++i) {
+        for (std::size_t i = 0; i < 200 && sidecar->gauges().unavailable == 0; ++i) {
             application.send(request(classes[i % classes.size()], "e" + std::to_string(i)));
             until([&] { return application.answers.size() > i; });
         }
-        ASSERT_EQ(sidecar->held().avoided, 1U);
+        ASSERT_EQ(sidecar->gauges().unavailable, 1U);
     }
 
     Listed listed_a{"s-a", a.address()}, listed_b{"s-b", b.address()};
@@ -115,18 +116,18 @@
 }
 
 TEST_P(ClockSteps, BeforeAServersStartLeaveItAColdServersShareForItsWarmUpOfRealTime) {
-    warm_within = 800;
+    slow_start_window = 800;
     start_with_warm_a();
     answer_watch(list_json(42, false, {}));
     step = GetParam().step;
     answer_watch(b_started(43, wall(GetParam().everywhere)));
     EXPECT_FALSE(b_is_warm());
-    pass(warm_within);
+    pass(slow_start_window);
     EXPECT_TRUE(b_is_warm());
 }
 
 TEST_P(ClockSteps, AfterAServersListingChangeNothingOfItsWarmUp) {
-    warm_within = 800;
+    slow_start_window = 800;
     start_with_warm_a();
     answer_watch(list_json(42, false, {}));
     const Millis started = wall();
@@ -134,7 +135,7 @@
     step = GetParam().step;
     answer_watch(started_list(44, true, {{listed_a, "0"}, {listed_b, written_ms(started)}}));
     EXPECT_FALSE(b_is_warm());
-    pass(warm_within);
+    pass(slow_start_window);
     answer_watch(started_list(45, true, {{listed_a, "0"}, {listed_b, written_ms(started)}}));
     EXPECT_TRUE(b_is_warm());
 }
@@ -183,7 +184,7 @@
     eject_b();
     step = -3 * kHour;
     answer_watch(b_started(43, wall()));
-    EXPECT_EQ(sidecar->held().avoided, 0U);
+    EXPECT_EQ(sidecar->gauges().unavailable, 0U);
     b.script = serve;
     EXPECT_FALSE(b_is_warm());
 }
@@ -232,7 +233,7 @@
         application.send(request("listen", std::to_string(i)));
         until([&] { return application.answers.size() > i; });
     }
-    EXPECT_EQ(sidecar->held().avoided, 1U);
+    EXPECT_EQ(sidecar->gauges().unavailable, 1U);
     EXPECT_EQ(b.requests.size(), before);
 }
 
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -36,16 +36,16 @@
 
 Settings settings_of(const World& world) {
     RequestClass c;
-    c.effect = Effect::repeatable;
-    c.aim = 750;
+    c.idempotency = Idempotency::always;
+    c.latency_objective = 750;
     Settings s;
     s.classes = {c};
     s.max_attempts = 4;
-    s.siblings = static_cast<std::uint32_t>(world.balancers);
-    s.cold_from = 0.16;
-    s.warm_within = 23000;
-    s.fall_multiple = 4;
-    s.fall_within = 3000;
+    s.fleet_size = static_cast<std::uint32_t>(world.balancers);
+    s.slow_start_min_capacity = 0.16;
+    s.slow_start_window = 23000;
+    s.overload_multiple = 4;
+    s.overload_window = 3000;
     world.rules(s);
     return s;
 }
@@ -78,7 +78,7 @@
             for (std::size_t b = 0; b < balancers_.size(); ++b) give(b, list());
         });
         for (int i = 0; world_.balancers_restart_at > 0 && i < world_.balancer_restarts; ++i)
-            at(world_.balancers_restart_at + i * settings_.fall_within, [this] {
+            at(world_.balancers_restart_at + i * settings_.overload_window, [this] {
                 for (std::size_t b = 0; b < balancers_.size(); ++b) begin(b);
             });
         while (!due_.empty() && due_.top().at < world_.length) {
@@ -100,9 +100,9 @@
             std::size_t last = 0;
             for (std::size_t first = 0; first < s.sent.size(); ++first) {
                 const Millis from = s.sent[first];
-                while (last < s.sent.size() && s.sent[last] <= from + settings_.fall_within) ++last;
-                const double n = settings_.fall_multiple * share_at(s, from) * world_.cores /
-                                 service_of(s, 1) * settings_.fall_within;
+                while (last < s.sent.size() && s.sent[last] <= from + settings_.overload_window) ++last;
+                const double n = settings_.overload_multiple * share_at(s, from) * world_.cores /
+                                 service_of(s, 1) * settings_.overload_window;
                 const double allowed = allowed_for(n), sent = static_cast<double>(last - first);
                 if (sent / allowed > worst.ratio) worst = {sent / allowed, sent, allowed, from};
             }
@@ -154,17 +154,18 @@
     void at(Millis when, std::function<void()> what) { due_.push({when, next_++, std::move(what)}); }
     double share_at(const Server& s, Millis when) const {
         if (s.started == 0) return 1;
-        return std::min(1.0, settings_.cold_from +
-                                 (1 - settings_.cold_from) * (when - s.started) / settings_.warm_within);
+        return std::min(1.0, settings_.slow_start_min_capacity + (1 - settings_.slow_start_min_capacity) *
+                                                                     (when - s.started) /
+                                                                     settings_.slow_start_window);
     }
     // The time of one request on one core.
     double service_of(const Server& s, double share) const {
         return kService / (s.slow ? world_.slow_pace : 1) / share;
     }
-    ServerList list() const {
-        ServerList list{ListKind::full, {}};
+    EndpointList list() const {
+        EndpointList list{ListKind::full, {}};
         for (std::size_t s = 0; s < servers_.size(); ++s)
-            list.servers.push_back({static_cast<ServerId>(s + 1), 0, 0, Phase::on,
+            list.servers.push_back({static_cast<ServerId>(s + 1), 0, 0, EndpointState::active,
                                     servers_[s].started > 0 ? kEpoch + servers_[s].started : 0,
                                     servers_[s].slow ? 1U : 0U});
         return list;
@@ -193,7 +194,7 @@
         std::vector<Action> actions;
         one.balancer->handle(kEpoch + now_, event, actions);
         for (const Action& action : actions) {
-            if (const auto* send = std::get_if<Send>(&action)) {
+            if (const auto* send = std::get_if<SendAttempt>(&action)) {
                 const std::uint32_t number = one.attempts[send->id]++;
                 take(send->server - 1, {b, one.life, send->id, number, now_});
             } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
@@ -223,7 +224,7 @@
                 const bool late = now_ - job.sent > kDeadline;
                 served_ += !late && job.sent > world_.restarts_at;
                 give(job.balancer,
-                     AttemptEnded{job.id, job.attempt, late ? Outcome::overdue : Outcome::completed,
+                     AttemptEnded{job.id, job.attempt, late ? Outcome::timed_out : Outcome::completed,
                                   now_ - job.sent, !late});
             });
         }
@@ -323,7 +324,9 @@
     World w;
     w.slow_share = 0.5;
     w.load = 0.7;
-    w.rules = [](Settings& s) { s.fall_multiple = 2, s.fall_within = 1500, s.cold_from = 0.1; };
+    w.rules = [](Settings& s) {
+        s.overload_multiple = 2, s.overload_window = 1500, s.slow_start_min_capacity = 0.1;
+    };
     w.restarts = first_three;
     expect_kept(w, "steady");
     w.load = 0.35;
@@ -336,7 +339,9 @@
     World w;
     w.slow_share = 0.5;
     w.load = 0.8;
-    w.rules = [](Settings& s) { s.fall_multiple = 1, s.fall_within = 1000, s.cold_from = 0.1; };
+    w.rules = [](Settings& s) {
+        s.overload_multiple = 1, s.overload_window = 1000, s.slow_start_min_capacity = 0.1;
+    };
     w.restarts = first_three;
     expect_kept(w, "slow");
 }
@@ -405,7 +410,9 @@
     World w;
     w.cores = 1;
     w.load = 0.8;
-    w.rules = [](Settings& s) { s.fall_multiple = 1.5, s.fall_within = 1000, s.cold_from = 0.05; };
+    w.rules = [](Settings& s) {
+        s.overload_multiple = 1.5, s.overload_window = 1000, s.slow_start_min_capacity = 0.05;
+    };
     w.restarts = every_second;
     expect_kept_few_or_many(w, "steady");
     w.demand = [](Millis t) { return t < 21000 ? 1.0 : t < 24000 ? 0.0 : t < 26000 ? 2.5 : 0.5; };
@@ -416,7 +423,9 @@
 TEST(ColdFleetOfAnySize, ServersFallAtJustWhatTheyCanDo) {
     World w;
     w.load = 0.9;
-    w.rules = [](Settings& s) { s.fall_multiple = 1, s.fall_within = 1000, s.cold_from = 0.1; };
+    w.rules = [](Settings& s) {
+        s.overload_multiple = 1, s.overload_window = 1000, s.slow_start_min_capacity = 0.1;
+    };
     w.restarts = first_three;
     expect_kept_few_or_many(w, "at capacity");
 }
@@ -432,7 +441,7 @@
     w.skew = 0.1;
     w.slow_share = 0.25;
     w.slow_pace = 0.4;
-    w.rules = [](Settings& s) { s.cold_from = 0.25, s.warm_within = 18500; };
+    w.rules = [](Settings& s) { s.slow_start_min_capacity = 0.25, s.slow_start_window = 18500; };
     w.demand = [](Millis t) { return t < 15700 ? 1.0 : t < 16200 ? 0.1 : t < 18700 ? 3.9 : 0.7; };
     w.restarts_at = 12000;
     w.length = 25000;
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -33,7 +33,7 @@
     EXPECT_EQ(ask(request("deposit", "id-stays")).body(), "held");
     EXPECT_EQ(held.in.find("id-left"), std::string::npos) << held.in;
     EXPECT_EQ(sidecar->records(), 0u);
-    EXPECT_EQ(sidecar->held().requests, 0u);
+    EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
 
 // The list is looked at once more when the connection is up.
@@ -93,7 +93,7 @@
         until([&] { return nothing_out(); });
         EXPECT_EQ(arrived(), 1u) << early;
         EXPECT_EQ(sidecar->records(), 0u);
-        EXPECT_EQ(sidecar->held().requests, 0u);
+        EXPECT_EQ(sidecar->gauges().requests, 0u);
     }
 }
 
@@ -113,7 +113,7 @@
         for (std::size_t i = 0; i < a.connections.size(); ++i) a.send(i, response("200 OK", "late"));
         for (TestClient* c : all) reset ? c->reset() : c->close();
         until([&] { return sidecar->records() == 0 && nothing_out(); });
-        EXPECT_EQ(sidecar->held().requests, 0u);
+        EXPECT_EQ(sidecar->gauges().requests, 0u);
         a.script = serve;
         EXPECT_EQ(ask(request("listen", "id-last")).body(), "served");
     }
--- a/tests/deadline_test.cpp
+++ b/tests/deadline_test.cpp
@@ -164,7 +164,7 @@
     }
     void expect_nothing_left() {
         until([&] { return sidecar->records() == 0 && sidecar->metrics().in_flight == 0; });
-        EXPECT_EQ(sidecar->held().requests, 0u);
+        EXPECT_EQ(sidecar->gauges().requests, 0u);
     }
     // Until the sidecar has read all that has come by now.
     void pass() {
--- a/tests/discovery_load_test.cpp
+++ b/tests/discovery_load_test.cpp
@@ -32,7 +32,7 @@
 constexpr double kRefusalCost = 1.0 / 21;    // of discovery's time, as a share of what an answer costs
 constexpr double kMeasuredRound = 7.1;       // seconds that the answers to a whole fleet take
 constexpr Millis kToldAfter = 6 * kSecond;   // from the first failed call of a run of failures
-constexpr Millis kAskWithin = 10 * kSecond;  // Settings::ask_within
+constexpr Millis kAskWithin = 10 * kSecond;  // Settings::resubscribe_within
 
 // What a simulation may take at most.
 constexpr Millis kLongestRun = 300 * kSecond;
@@ -85,9 +85,9 @@
     Fleet(std::size_t size, OverloadedDiscovery discovery, std::uint64_t first_seed = 1)
         : discovery_(discovery) {
         Settings settings = make_settings();
-        settings.list_on_request = true;
-        settings.siblings = static_cast<std::uint32_t>(size);
-        settings.ask_within = kAskWithin;
+        settings.must_subscribe = true;
+        settings.fleet_size = static_cast<std::uint32_t>(size);
+        settings.resubscribe_within = kAskWithin;
         sidecars_.reserve(size);
         for (std::size_t i = 0; i < size; ++i) sidecars_.push_back({Balancer(settings, first_seed + i)});
     }
@@ -167,14 +167,14 @@
 
     void start(std::size_t sidecar) {
         schedule(sidecar, 0, Started{});
-        ServerList saved;
-        saved.kind = ListKind::saved;
+        EndpointList saved;
+        saved.kind = ListKind::cached;
         saved.servers = make_servers(kServers);
         schedule(sidecar, 0, std::move(saved));
     }
 
     void give(std::size_t sidecar, Millis now, const Event& event) {
-        if (const auto* list = std::get_if<ServerList>(&event)) note_reply(sidecars_[sidecar], now, *list);
+        if (const auto* list = std::get_if<EndpointList>(&event)) note_reply(sidecars_[sidecar], now, *list);
         std::vector<Action> actions;
         sidecars_[sidecar].balancer.handle(now, event, actions);
         for (const Action& action : actions) {
@@ -185,7 +185,7 @@
         }
     }
 
-    static void note_reply(Sidecar& sidecar, Millis now, const ServerList& list) {
+    static void note_reply(Sidecar& sidecar, Millis now, const EndpointList& list) {
         if (list.kind == ListKind::incremental) sidecar.answered_at = now;
         if (list.kind != ListKind::failed) return;
         sidecar.calling = false;
@@ -199,9 +199,9 @@
         if (sidecar.refused_at) longest_wait_ = std::max(longest_wait_, now - *sidecar.refused_at);
         const OverloadedDiscovery::Reply reply = discovery_.call(now);
         if (!reply.answered && !sidecar.told_at) sidecar.told_at = now + kToldAfter;
-        ServerList list;
+        EndpointList list;
         list.kind = reply.answered ? ListKind::incremental : ListKind::failed;
-        if (!reply.answered) list.told_within = *sidecar.told_at - reply.at;
+        if (!reply.answered) list.notified_within = *sidecar.told_at - reply.at;
         schedule(index, reply.at, std::move(list));
     }
 
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -130,7 +130,7 @@
     }
     void expect_nothing_left() {
         until([&] { return sidecar->records() == 0 && sidecar->metrics().in_flight == 0; });
-        EXPECT_EQ(sidecar->held().requests, 0u);
+        EXPECT_EQ(sidecar->gauges().requests, 0u);
     }
 };
 
--- a/tests/policy/recorded_sequence_test.cpp
+++ b/tests/policy/recorded_sequence_test.cpp
@@ -62,12 +62,12 @@
 
 RequestClass draw_class(Generator& draw, std::uint32_t number) {
     RequestClass c;
-    c.effect = static_cast<Effect>(number % 3);
+    c.idempotency = static_cast<Idempotency>(number % 3);
     c.dedup_scope = static_cast<DedupScope>(draw.below(3));
     c.dedup_window = 500 + 4000 * draw.unit();
-    c.aim = 100 + 400 * draw.unit();
-    c.aim_stretch = draw.chance(0.5) ? 2 * draw.unit() : 0;
-    c.worth = 0.5 + 3 * draw.unit();
+    c.latency_objective = 100 + 400 * draw.unit();
+    c.objective_per_effort = draw.chance(0.5) ? 2 * draw.unit() : 0;
+    c.priority_weight = 0.5 + 3 * draw.unit();
     if (draw.chance(0.15)) c.zones = {draw.below(kZones), draw.below(kZones)};
     if (draw.chance(0.15)) c.kinds = {draw.below(kKinds), draw.below(kKinds)};
     return c;
@@ -78,21 +78,21 @@
     const std::uint32_t classes = 2 + draw.below(4);
     for (std::uint32_t i = 0; i < classes; ++i) s.classes.push_back(draw_class(draw, i));
     if (draw.chance(0.5)) s.my_zone = draw.below(kZones);
-    s.siblings = 1 + draw.below(400);
-    s.list_on_request = draw.chance(0.5);
-    s.ask_within = draw.chance(0.5) ? 4000 : 0;
+    s.fleet_size = 1 + draw.below(400);
+    s.must_subscribe = draw.chance(0.5);
+    s.resubscribe_within = draw.chance(0.5) ? 4000 : 0;
     s.max_attempts = 1 + draw.below(4);
-    s.parallel_tries = draw.chance(0.5);
+    s.may_hedge = draw.chance(0.5);
     s.may_cancel = draw.chance(0.7);
-    s.max_retry_in = draw.chance(0.5) ? 2000 : 0;
-    s.cold_from = draw.unit();
-    s.warm_within = draw.chance(0.8) ? 10000 * draw.unit() : 0;
-    s.fall_multiple = 1 + 2 * draw.unit();
-    s.saturated_is_no_proof = draw.chance(0.3);
-    if (draw.chance(0.5)) s.tenant_shares = {0.5, 0.3, 0.2};
-    s.over_share_worth = draw.unit();
-    s.fees.cross_zone = draw.chance(0.5) ? draw.unit() : 0;
-    s.affinity_bound = 1 + draw.unit();
+    s.max_retry_after = draw.chance(0.5) ? 2000 : 0;
+    s.slow_start_min_capacity = draw.unit();
+    s.slow_start_window = draw.chance(0.8) ? 10000 * draw.unit() : 0;
+    s.overload_multiple = 1 + 2 * draw.unit();
+    s.overloaded_may_have_run = draw.chance(0.3);
+    if (draw.chance(0.5)) s.tenant_quotas = {0.5, 0.3, 0.2};
+    s.over_quota_weight = draw.unit();
+    s.costs.cross_zone = draw.chance(0.5) ? draw.unit() : 0;
+    s.affinity_load_bound = 1 + draw.unit();
     return s;
 }
 
@@ -109,10 +109,10 @@
     std::uint64_t play(int requests) {
         give(Started{});
         for (ServerId id = 1; id <= server_count_; ++id) servers_[id] = new_server(id, 0);
-        give(ServerList{ListKind::saved, listed()});
+        give(EndpointList{ListKind::cached, listed()});
         requests_left_ = requests;
         schedule_next_request();
-        schedule_in(200, [this] { give(ServerList{ListKind::full, listed()}); });
+        schedule_in(200, [this] { give(EndpointList{ListKind::full, listed()}); });
         schedule_upset();
         while (!due_.empty()) {
             const auto next = due_.begin();
@@ -130,10 +130,10 @@
 
 private:
     struct Server {
-        ServerInfo info;
+        EndpointInfo info;
         Millis service = 50;
         double failing = 0;  // share of its attempts that fail
-        Outcome failure = Outcome::errored;
+        Outcome failure = Outcome::failed;
     };
     struct Request {
         std::uint32_t attempts = 0;
@@ -141,25 +141,25 @@
         std::map<std::uint32_t, ServerId> out;  // attempts that have not ended
     };
 
-    Server new_server(ServerId id, Millis online_since) {
+    Server new_server(ServerId id, Millis started_at) {
         Server s;
-        s.info = {id,           draw_.below(kZones), draw_.below(kCells),      Phase::on,
-                  online_since, draw_.below(kKinds), (id * 0x9e3779b97f4a7c15)};
+        s.info = {id,         draw_.below(kZones), draw_.below(kCells),      EndpointState::active,
+                  started_at, draw_.below(kKinds), (id * 0x9e3779b97f4a7c15)};
         s.service = 20 + 60 * draw_.unit() * (1 + s.info.kind);
         if (draw_.chance(0.1)) make_faulty(s);
         return s;
     }
     void make_faulty(Server& s) {
-        constexpr Outcome kFailures[] = {Outcome::errored,   Outcome::saturated, Outcome::refused_connection,
-                                         Outcome::severed,   Outcome::overdue,   Outcome::rejected,
-                                         Outcome::superseded};
+        constexpr Outcome kFailures[] = {
+            Outcome::failed,    Outcome::overloaded,      Outcome::connect_failed, Outcome::connection_lost,
+            Outcome::timed_out, Outcome::invalid_request, Outcome::not_sent};
         s.failing = draw_.chance(0.5) ? 1 : draw_.unit();
         s.failure = kFailures[draw_.below(std::size(kFailures))];
     }
-    std::vector<ServerInfo> listed() const {
-        std::vector<ServerInfo> infos;
+    std::vector<EndpointInfo> listed() const {
+        std::vector<EndpointInfo> infos;
         for (const auto& [id, s] : servers_)
-            if (s.info.phase != Phase::off) infos.push_back(s.info);
+            if (s.info.state != EndpointState::removed) infos.push_back(s.info);
         return infos;
     }
 
@@ -184,19 +184,19 @@
         e.class_index = draw_.below(static_cast<std::uint32_t>(settings_.classes.size()) + 1);  // one unknown
         e.time_left = 50 + 1500 * draw_.unit();
         e.effort = draw_.chance(0.5) ? 100 * draw_.unit() : 0;
-        e.repeat = draw_.chance(0.1);
+        e.is_retry = draw_.chance(0.1);
         e.tenant = draw_.below(kTenants + 1);
-        e.unfinished = draw_.chance(0.1);
-        e.affinity = draw_.chance(0.3) ? 1 + draw_.below(20) : 0;
+        e.body_incomplete = draw_.chance(0.1);
+        e.affinity_hash = draw_.chance(0.3) ? 1 + draw_.below(20) : 0;
         requests_[id];
-        if (e.unfinished) {
-            schedule_in(300 * draw_.unit(), [this, id, left = e.time_left] { give(BodyWhole{id, left}); });
+        if (e.body_incomplete) {
+            schedule_in(300 * draw_.unit(), [this, id, left = e.time_left] { give(BodyComplete{id, left}); });
         }
-        if (draw_.chance(0.05)) schedule_in(200 * draw_.unit(), [this, id] { give(BodySpent{id}); });
+        if (draw_.chance(0.05)) schedule_in(200 * draw_.unit(), [this, id] { give(BodyDiscarded{id}); });
         if (draw_.chance(0.05)) {
             schedule_in(500 * draw_.unit(), [this, id] {
                 requests_[id].ended = true;
-                give(ClientGone{id});
+                give(ClientDisconnected{id});
             });
         }
         give(e);
@@ -205,7 +205,7 @@
     void end_attempt(RequestId id, std::uint32_t attempt, Outcome outcome, Millis duration) {
         Request& r = requests_[id];
         if (r.out.erase(attempt) == 0) return;
-        if (outcome == Outcome::completed || outcome == Outcome::rejected) r.ended = true;
+        if (outcome == Outcome::completed || outcome == Outcome::invalid_request) r.ended = true;
         give(AttemptEnded{id, attempt, outcome, duration, r.ended});
     }
 
@@ -224,21 +224,21 @@
             case 1:
                 return change_server([](Server& s) { s.failing = 0; });
             case 2:
-                return list_change([](Server& s) { s.info.phase = Phase::fading; });
+                return list_change([](Server& s) { s.info.state = EndpointState::draining; });
             case 3:
-                return list_change([](Server& s) { s.info.phase = Phase::off; });
+                return list_change([](Server& s) { s.info.state = EndpointState::removed; });
             case 4:
                 return list_change([this](Server& s) {
                     s = new_server(s.info.id, draw_.chance(0.1) ? 0 : now_);
-                    s.info.phase = Phase::on;
+                    s.info.state = EndpointState::active;
                 });
             case 5: {
                 const ServerId id = ++server_count_;
                 servers_[id] = new_server(id, now_);
-                return give(ServerList{ListKind::incremental, {servers_[id].info}});
+                return give(EndpointList{ListKind::incremental, {servers_[id].info}});
             }
             case 6:
-                return give(ServerList{ListKind::full, listed()});
+                return give(EndpointList{ListKind::full, listed()});
             case 7:
                 return fail_list();
             case 8:
@@ -248,9 +248,9 @@
                 return give(MemberView{1 + draw_.below(50), quorum});
             }
             case 10:
-                return give(Doubled{draw_.chance(0.5)});
+                return give(ProcessOverlap{draw_.chance(0.5)});
             default:
-                give(ProbeEnded{1 + draw_.below(server_count_), Outcome::completed, 3});
+                give(HealthCheckEnded{1 + draw_.below(server_count_), Outcome::completed, 3});
                 return give(PeerMessage{1, {1, 2, 3}});
         }
     }
@@ -263,14 +263,14 @@
     void list_change(Change change) {
         Server& s = any_server();
         change(s);
-        give(ServerList{ListKind::incremental, {s.info}});
+        give(EndpointList{ListKind::incremental, {s.info}});
     }
     void fail_list() {
-        constexpr ListFailure kFailures[] = {ListFailure::unreachable, ListFailure::turned_away,
-                                             ListFailure::broken, ListFailure::silent};
-        ServerList failed{ListKind::failed, {}};
+        constexpr ListFailure kFailures[] = {ListFailure::unreachable, ListFailure::rejected,
+                                             ListFailure::broken, ListFailure::timed_out};
+        EndpointList failed{ListKind::failed, {}};
         failed.failure = kFailures[draw_.below(std::size(kFailures))];
-        if (draw_.chance(0.7)) failed.told_within = -500 + 6000 * draw_.unit();
+        if (draw_.chance(0.7)) failed.notified_within = -500 + 6000 * draw_.unit();
         if (draw_.chance(0.3)) failed.retry_after = 3000 * draw_.unit();
         give(failed);
     }
@@ -279,7 +279,7 @@
         for (auto& [id, s] : servers_) {
             if (s.info.zone != zone) continue;
             s.failing = 1;
-            s.failure = Outcome::refused_connection;
+            s.failure = Outcome::connect_failed;
         }
         schedule_in(2000, [this, zone] {
             for (auto& [id, s] : servers_)
@@ -292,23 +292,23 @@
         std::vector<Action> actions;
         balancer_.handle(now_, event, actions);
         for (const Action& action : actions) std::visit([this](const auto& taken) { take(taken); }, action);
-        const Balancer::Held held = balancer_.held();
+        const Balancer::Gauges held = balancer_.gauges();
         digest_.add(std::uint64_t{held.requests});
         digest_.add(std::uint64_t{held.servers});
         digest_.add(std::uint64_t{held.timers});
-        digest_.add(std::uint64_t{held.avoided});
+        digest_.add(std::uint64_t{held.unavailable});
     }
 
     void record(char tag) {
         ++action_counts_[tag];
         digest_.add(static_cast<std::uint64_t>(tag));
     }
-    void take(const Send& send) {
+    void take(const SendAttempt& send) {
         record('S');
         digest_.add(send.id);
         digest_.add(std::uint64_t{send.server});
-        digest_.add(send.try_until);
-        digest_.add(send.begin_by);
+        digest_.add(send.deadline);
+        digest_.add(send.send_by);
         Request& r = requests_[send.id];
         const std::uint32_t attempt = r.attempts++;
         r.out[attempt] = send.server;
@@ -317,11 +317,11 @@
         const Outcome outcome = fails ? s.failure : Outcome::completed;
         // A server is slower the more it has at a time; one that refuses says so at once.
         Millis takes = draw_.gap(s.service) * (1 + 0.3 * static_cast<double>(out_at(send.server)));
-        if (outcome == Outcome::refused_connection || outcome == Outcome::saturated) takes = 1 + draw_.unit();
-        if (outcome == Outcome::overdue || now_ + takes > send.try_until) {
-            const Millis ends = std::max(now_, send.try_until);
+        if (outcome == Outcome::connect_failed || outcome == Outcome::overloaded) takes = 1 + draw_.unit();
+        if (outcome == Outcome::timed_out || now_ + takes > send.deadline) {
+            const Millis ends = std::max(now_, send.deadline);
             schedule(ends, [this, id = send.id, attempt, span = ends - now_] {
-                end_attempt(id, attempt, Outcome::overdue, span);
+                end_attempt(id, attempt, Outcome::timed_out, span);
             });
             return;
         }
@@ -329,26 +329,26 @@
             schedule_in(takes / 2, [this, id = send.id, attempt] {
                 if (!requests_[id].out.contains(attempt)) return;
                 requests_[id].ended = true;
-                give(FirstByte{id, attempt});
+                give(ResponseStarted{id, attempt});
             });
         }
         schedule_in(takes, [this, id = send.id, attempt, outcome, takes] {
             end_attempt(id, attempt, outcome, takes);
         });
     }
-    void take(const Cancel& cancel) {
+    void take(const CancelAttempt& cancel) {
         record('C');
         digest_.add(cancel.id);
         digest_.add(std::uint64_t{cancel.attempt});
-        schedule_in(0, [this, cancel] { end_attempt(cancel.id, cancel.attempt, Outcome::recalled, 0); });
+        schedule_in(0, [this, cancel] { end_attempt(cancel.id, cancel.attempt, Outcome::cancelled, 0); });
     }
-    void take(const Refuse& refuse) {
+    void take(const RejectRequest& refuse) {
         record('R');
         digest_.add(refuse.id);
-        digest_.add(refuse.retry_in);
+        digest_.add(refuse.retry_after);
         requests_[refuse.id].ended = true;
     }
-    void take(const GiveUp& failed) {
+    void take(const FailRequest& failed) {
         record('G');
         digest_.add(failed.id);
         requests_[failed.id].ended = true;
@@ -366,11 +366,14 @@
         record('U');
         digest_.add(std::uint64_t{subscribe.active});
     }
-    void take(const Log& log) {
-        const bool ejected = log.text == "removed from the pool";
-        EXPECT_TRUE(ejected || log.text == "restored after a trial") << log.text;
-        record(ejected ? 'E' : 'H');
-        digest_.add(std::uint64_t{log.server.value()});
+    void take(const EndpointEjected& ejected) {
+        EXPECT_GT(ejected.until, now_);
+        record('E');
+        digest_.add(std::uint64_t{ejected.server});
+    }
+    void take(const EndpointRestored& restored) {
+        record('H');
+        digest_.add(std::uint64_t{restored.server});
     }
     void take(const auto&) { ADD_FAILURE() << "an action that no decision takes"; }
 
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -25,15 +25,15 @@
     EXPECT_EQ(config.connect_timeout, 150);
     EXPECT_TRUE(config.may_tell);
     ASSERT_EQ(config.site.settings.classes.size(), 3u);
-    EXPECT_EQ(config.site.settings.classes[1].effect, Effect::once);
+    EXPECT_EQ(config.site.settings.classes[1].idempotency, Idempotency::never);
     EXPECT_EQ(config.site.settings.classes[2].dedup_scope, DedupScope::all);
     EXPECT_EQ(config.site.settings.classes[2].dedup_window, 3000);
-    EXPECT_EQ(config.site.settings.cold_from, 0.16);
-    EXPECT_EQ(config.site.settings.siblings, 3u);
+    EXPECT_EQ(config.site.settings.slow_start_min_capacity, 0.16);
+    EXPECT_EQ(config.site.settings.fleet_size, 3u);
     EXPECT_EQ(config.site.zones.at(1), "hall-b");
-    EXPECT_FALSE(config.site.settings.list_on_request);
+    EXPECT_FALSE(config.site.settings.must_subscribe);
     ASSERT_EQ(config.known.members.size(), 1u);
-    EXPECT_EQ(config.known.members[0].phase, Phase::fading);
+    EXPECT_EQ(config.known.members[0].state, EndpointState::draining);
 }
 
 TEST(Configuration, NamesTheKeyThatIsWrong) {
--- a/tests/rig.hpp
+++ b/tests/rig.hpp
@@ -14,28 +14,28 @@
 
 namespace mothring::test {
 
-inline RequestClass make_class(Effect effect, DedupScope scope = DedupScope::all, Millis window = 3000) {
+inline RequestClass make_class(Idempotency effect, DedupScope scope = DedupScope::all, Millis window = 3000) {
     RequestClass c;
-    c.effect = effect;
+    c.idempotency = effect;
     c.dedup_scope = scope;
     c.dedup_window = window;
-    c.aim = 400;
+    c.latency_objective = 400;
     return c;
 }
 
-inline Settings make_settings(std::vector<RequestClass> classes = {make_class(Effect::repeatable)}) {
+inline Settings make_settings(std::vector<RequestClass> classes = {make_class(Idempotency::always)}) {
     Settings s;
     s.classes = std::move(classes);
     s.max_attempts = 4;
-    s.cold_from = 0.2;
-    s.warm_within = 20000;
+    s.slow_start_min_capacity = 0.2;
+    s.slow_start_window = 20000;
     return s;
 }
 
-inline std::vector<ServerInfo> make_servers(ServerId count, Millis online_since = 0) {
-    std::vector<ServerInfo> servers;
+inline std::vector<EndpointInfo> make_servers(ServerId count, Millis started_at = 0) {
+    std::vector<EndpointInfo> servers;
     for (ServerId i = 1; i <= count; ++i)
-        servers.push_back({i, i % 3, i % 2, Phase::on, online_since, i % 2});
+        servers.push_back({i, i % 3, i % 2, EndpointState::active, started_at, i % 2});
     return servers;
 }
 
@@ -62,11 +62,11 @@
     Millis now = 100000;
     Millis woke = 0;  // when it last stood still until
     std::map<RequestId, Open> requests;
-    std::map<ServerId, ServerInfo> servers;  // as last told
+    std::map<ServerId, EndpointInfo> servers;  // as last told
     std::multimap<Millis, TimerToken> timers;
     std::vector<Action> last;  // actions of the last event
     RequestId next_id = 1;
-    std::vector<std::string> logs;
+    int ejections = 0;
 
     explicit Rig(Settings s, std::uint64_t seed = 1) : settings(s), balancer(std::move(s), seed) {}
 
@@ -76,20 +76,20 @@
         for (const Action& a : last) watch(a);
     }
 
-    void list(ListKind kind, const std::vector<ServerInfo>& infos) {
+    void list(ListKind kind, const std::vector<EndpointInfo>& infos) {
         if (kind != ListKind::incremental && kind != ListKind::failed)
-            for (auto& [id, s] : servers) s.phase = Phase::off;
-        for (const ServerInfo& s : infos) servers[s.id] = s;
-        give(ServerList{kind, infos});
+            for (auto& [id, s] : servers) s.state = EndpointState::removed;
+        for (const EndpointInfo& s : infos) servers[s.id] = s;
+        give(EndpointList{kind, infos});
     }
 
-    RequestId request(std::uint32_t class_index = 0, Millis time_left = 1000, bool repeat = false,
+    RequestId request(std::uint32_t class_index = 0, Millis time_left = 1000, bool is_retry = false,
                       std::uint32_t tenant = ~0U) {
         const RequestId id = next_id++;
-        RequestClass kind = make_class(Effect::once);
+        RequestClass kind = make_class(Idempotency::never);
         if (class_index < settings.classes.size()) kind = settings.classes[class_index];
         requests[id] = {kind, class_index, now + time_left, {}, 0, false, false};
-        give(RequestArrived{id, class_index, time_left, 0, repeat, tenant});
+        give(RequestArrived{id, class_index, time_left, 0, is_retry, tenant});
         return id;
     }
 
@@ -98,11 +98,11 @@
         requests.clear();
         timers.clear();
         balancer = Balancer(settings, seed);
-        std::vector<ServerInfo> saved;
+        std::vector<EndpointInfo> saved;
         for (const auto& [id, s] : servers)
-            if (s.phase != Phase::off) saved.push_back(s);
+            if (s.state != EndpointState::removed) saved.push_back(s);
         give(Started{});
-        list(ListKind::saved, saved);
+        list(ListKind::cached, saved);
     }
 
     std::vector<RequestId> burst(int count, Millis time_left = 1000, bool repeat = false) {
@@ -134,8 +134,8 @@
         Open& r = requests.at(id);
         Sent& s = r.sent.at(attempt);
         s.out = false;
-        s.may_have_run = (outcome != Outcome::saturated || settings.saturated_is_no_proof) &&
-                         outcome != Outcome::refused_connection && outcome != Outcome::superseded;
+        s.may_have_run = (outcome != Outcome::overloaded || settings.overloaded_may_have_run) &&
+                         outcome != Outcome::connect_failed && outcome != Outcome::not_sent;
         if (outcome == Outcome::completed && !closed(r)) ++r.answers;
         AttemptEnded e{id, attempt, outcome, now - s.at, closed(r)};
         give(e);
@@ -156,7 +156,7 @@
                     }
             now = std::max(now, next);
             if (late.first) {
-                end_attempt(late.first, late.second, Outcome::overdue);
+                end_attempt(late.first, late.second, Outcome::timed_out);
             } else if (!timers.empty() && timers.begin()->first <= now && now <= until) {
                 const TimerToken token = timers.begin()->second;
                 timers.erase(timers.begin());
@@ -181,7 +181,7 @@
     }
     ServerId where(RequestId id) const { return requests.at(id).sent.back().server; }
     std::size_t sends(RequestId id) const { return requests.at(id).sent.size(); }
-    auto removals() const { return std::count(logs.begin(), logs.end(), "removed from the pool"); }
+    int removals() const { return ejections; }
     template <class T>
     int count() const {
         return static_cast<int>(
@@ -189,23 +189,24 @@
     }
 
     void watch(const Action& action) {
-        if (const auto* send = std::get_if<Send>(&action)) on_send(*send);
-        if (const auto* refuse = std::get_if<Refuse>(&action)) {
+        if (const auto* send = std::get_if<SendAttempt>(&action)) on_send(*send);
+        if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
             Open& r = requests.at(refuse->id);
             const Sent* first = nullptr;
             for (const Sent& s : r.sent)
                 if (s.may_have_run && !first) first = &s;
             if (first) {
-                EXPECT_TRUE(r.kind.effect == Effect::repeatable ||
-                            (r.kind.effect == Effect::by_key && r.kind.dedup_scope == DedupScope::all))
+                EXPECT_TRUE(
+                    r.kind.idempotency == Idempotency::always ||
+                    (r.kind.idempotency == Idempotency::with_key && r.kind.dedup_scope == DedupScope::all))
                     << "rule 2: refused after a possible run";
             }
             r.refused = true;
             answer(r);
         }
-        if (const auto* failed = std::get_if<GiveUp>(&action)) answer(requests.at(failed->id));
+        if (const auto* failed = std::get_if<FailRequest>(&action)) answer(requests.at(failed->id));
         if (const auto* timer = std::get_if<SetTimer>(&action)) timers.emplace(timer->at, timer->token);
-        if (const auto* log = std::get_if<Log>(&action)) logs.push_back(log->text);
+        ejections += std::holds_alternative<EndpointEjected>(action);
     }
 
     static bool inside(const std::optional<std::vector<std::uint32_t>>& list, std::uint32_t value) {
@@ -218,12 +219,13 @@
         ++r.answers;
     }
 
-    void on_send(const Send& send) {
+    void on_send(const SendAttempt& send) {
         Open& r = requests.at(send.id);
         EXPECT_FALSE(closed(r)) << "rule 1: sent after the final answer";
         EXPECT_LT(r.sent.size(), settings.max_attempts) << "too many attempts";
-        EXPECT_EQ(servers.at(send.server).phase, Phase::on) << "rule 3: sent to a draining or gone server";
-        const ServerInfo& to = servers.at(send.server);
+        EXPECT_EQ(servers.at(send.server).state, EndpointState::active)
+            << "rule 3: sent to a draining or gone server";
+        const EndpointInfo& to = servers.at(send.server);
         for (std::size_t c = 0; c < settings.classes.size(); ++c) {
             if (c != r.class_index && r.class_index < settings.classes.size()) continue;
             // A class that nobody knows may be any of ours.
@@ -233,13 +235,13 @@
         const Sent* first = nullptr;
         for (const Sent& s : r.sent) {
             if (s.out) {
-                EXPECT_TRUE(settings.parallel_tries) << "two attempts out";
+                EXPECT_TRUE(settings.may_hedge) << "two attempts out";
             }
             if (!s.may_have_run) continue;
             if (!first) first = &s;
-            EXPECT_NE(r.kind.effect, Effect::once) << "rule 2: sent again after a possible run";
-            if (r.kind.effect != Effect::by_key) continue;
-            const ServerInfo& before = servers.at(s.server);
+            EXPECT_NE(r.kind.idempotency, Idempotency::never) << "rule 2: sent again after a possible run";
+            if (r.kind.idempotency != Idempotency::with_key) continue;
+            const EndpointInfo& before = servers.at(s.server);
             if (r.kind.dedup_scope == DedupScope::zone) {
                 EXPECT_EQ(to.zone, before.zone) << "rule 2: zone";
             }
@@ -247,10 +249,10 @@
                 EXPECT_EQ(to.cell, before.cell) << "rule 2: cell";
             }
         }
-        if (first && r.kind.effect == Effect::by_key) {
+        if (first && r.kind.idempotency == Idempotency::with_key) {
             EXPECT_LT(now, first->at + r.kind.dedup_window) << "rule 2: after the window";
         }
-        r.sent.push_back({send.server, now, send.try_until > 0 ? send.try_until : r.deadline, true, true});
+        r.sent.push_back({send.server, now, send.deadline > 0 ? send.deadline : r.deadline, true, true});
     }
 
     // Everything taken must have been answered once.
@@ -258,7 +260,7 @@
         pass(60000);
         for (const auto& [id, r] : requests)
             EXPECT_TRUE(closed(r)) << "rule 1: request " << id << " unanswered";
-        EXPECT_EQ(balancer.held().requests, 0U);
+        EXPECT_EQ(balancer.gauges().requests, 0U);
     }
 };
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -18,11 +18,11 @@
 };
 
 Settings mixed(bool parallel) {
-    Settings s = make_settings({make_class(Effect::repeatable), make_class(Effect::once),
-                                make_class(Effect::by_key, DedupScope::all, 700),
-                                make_class(Effect::by_key, DedupScope::zone, 700),
-                                make_class(Effect::by_key, DedupScope::cell, 700)});
-    s.parallel_tries = parallel;
+    Settings s = make_settings({make_class(Idempotency::always), make_class(Idempotency::never),
+                                make_class(Idempotency::with_key, DedupScope::all, 700),
+                                make_class(Idempotency::with_key, DedupScope::zone, 700),
+                                make_class(Idempotency::with_key, DedupScope::cell, 700)});
+    s.may_hedge = parallel;
     return s;
 }
 
@@ -33,9 +33,9 @@
     s.classes[1].zones = {{0}};
     s.classes[2].zones = {{2}};
     s.classes[3].kinds = {{1}};
-    s.saturated_is_no_proof = true;
-    s.tenant_shares = {0.7, 0.3};
-    s.over_share_worth = 0.2;
+    s.overloaded_may_have_run = true;
+    s.tenant_quotas = {0.7, 0.3};
+    s.over_quota_weight = 0.2;
     return s;
 }
 
@@ -46,30 +46,31 @@
             if (r.sent[i].out) out.emplace_back(id, i);
     if (out.empty()) return;
     const auto [id, attempt] = out[dice.below(static_cast<std::uint32_t>(out.size()))];
-    static const Outcome outcomes[] = {Outcome::completed, Outcome::completed,          Outcome::completed,
-                                       Outcome::errored,   Outcome::saturated,          Outcome::overdue,
-                                       Outcome::severed,   Outcome::refused_connection, Outcome::superseded};
+    static const Outcome outcomes[] = {Outcome::completed,       Outcome::completed,      Outcome::completed,
+                                       Outcome::failed,          Outcome::overloaded,     Outcome::timed_out,
+                                       Outcome::connection_lost, Outcome::connect_failed, Outcome::not_sent};
     const bool closed = rig.closed(rig.requests.at(id));
-    rig.end_attempt(id, attempt, closed ? Outcome::recalled : outcomes[dice.below(9)]);
+    rig.end_attempt(id, attempt, closed ? Outcome::cancelled : outcomes[dice.below(9)]);
 }
 
 void change_list(Rig& rig, Dice& dice) {
     const ServerId id = 1 + dice.below(10);
-    const Phase phases[] = {Phase::on, Phase::on, Phase::fading, Phase::off};
+    const EndpointState phases[] = {EndpointState::active, EndpointState::active, EndpointState::draining,
+                                    EndpointState::removed};
     const Millis since = dice.below(2) ? rig.now - dice.below(5000) : 0;
     if (dice.below(5)) {
         rig.list(ListKind::incremental, {{id, id % 3, id % 2, phases[dice.below(4)], since, id % 2}});
     } else {
-        std::vector<ServerInfo> infos;
+        std::vector<EndpointInfo> infos;
         for (ServerId s = 1; s <= 10; ++s)
-            if (dice.below(3)) infos.push_back({s, s % 3, s % 2, Phase::on, 0, s % 2});
+            if (dice.below(3)) infos.push_back({s, s % 3, s % 2, EndpointState::active, 0, s % 2});
         rig.list(dice.below(4) ? ListKind::full : ListKind::failed, infos);
     }
 }
 
 void random_life(Rig& rig, Dice& dice, int steps) {
     rig.give(Started{});
-    rig.list(ListKind::saved, make_servers(6));
+    rig.list(ListKind::cached, make_servers(6));
     for (int i = 0; i < steps; ++i) {
         const std::uint32_t what = dice.below(100);
         if (what < 45) {
@@ -84,7 +85,7 @@
             std::advance(at, dice.below(static_cast<std::uint32_t>(rig.requests.size())));
             if (!rig.closed(at->second)) {
                 at->second.gone = true;
-                rig.give(ClientGone{at->first});
+                rig.give(ClientDisconnected{at->first});
             }
         } else if (what == 98 && dice.below(5) == 0) {
             rig.restart(dice.below(1000));
@@ -133,14 +134,15 @@
     ServerId fresh = 100;
     for (int round = 0; round < 60; ++round) {
         random_life(rig, dice, 300);
-        rig.list(ListKind::full, {{fresh, 0, 0, Phase::on, 0}, {fresh + 1, 1, 1, Phase::on, 0}});
+        rig.list(ListKind::full,
+                 {{fresh, 0, 0, EndpointState::active, 0}, {fresh + 1, 1, 1, EndpointState::active, 0}});
         fresh += 2;
         rig.pass(10000);
     }
     rig.settle();
-    EXPECT_EQ(rig.balancer.held().requests, 0U);
-    EXPECT_LE(rig.balancer.held().servers, 2U);
-    EXPECT_LE(rig.balancer.held().timers, 1U);
+    EXPECT_EQ(rig.balancer.gauges().requests, 0U);
+    EXPECT_LE(rig.balancer.gauges().servers, 2U);
+    EXPECT_LE(rig.balancer.gauges().timers, 1U);
 }
 
 // ---- One temptation each --------------------------------------------------------------------------------
@@ -152,8 +154,8 @@
 }
 
 TEST(Rule2, OnceIsNeverSentAgainNorRefusedAfterAPossibleRun) {
-    for (const Outcome outcome : {Outcome::errored, Outcome::overdue, Outcome::severed}) {
-        Rig rig = three(make_class(Effect::once));
+    for (const Outcome outcome : {Outcome::failed, Outcome::timed_out, Outcome::connection_lost}) {
+        Rig rig = three(make_class(Idempotency::never));
         const RequestId id = rig.request();
         rig.end(id, outcome);
         EXPECT_EQ(rig.sends(id), 1U);
@@ -163,16 +165,16 @@
 }
 
 TEST(Rule2, UnknownClassIsTreatedAsOnce) {
-    Rig rig = three(make_class(Effect::repeatable));
+    Rig rig = three(make_class(Idempotency::always));
     const RequestId id = rig.request(9);
-    rig.end(id, Outcome::errored);
+    rig.end(id, Outcome::failed);
     EXPECT_EQ(rig.sends(id), 1U);
     EXPECT_FALSE(rig.requests.at(id).refused);
 }
 
 TEST(Rule2, RepeatableIsSentAgainAfterAnything) {
-    for (const Outcome outcome : {Outcome::errored, Outcome::severed, Outcome::saturated}) {
-        Rig rig = three(make_class(Effect::repeatable));
+    for (const Outcome outcome : {Outcome::failed, Outcome::connection_lost, Outcome::overloaded}) {
+        Rig rig = three(make_class(Idempotency::always));
         const RequestId id = rig.request();
         rig.end(id, outcome);
         EXPECT_EQ(rig.sends(id), 2U);
@@ -180,12 +182,12 @@
 }
 
 TEST(Rule2, ByKeyStaysInItsZoneAndWindow) {
-    Rig rig(make_settings({make_class(Effect::by_key, DedupScope::zone, 300)}));
+    Rig rig(make_settings({make_class(Idempotency::with_key, DedupScope::zone, 300)}));
     rig.list(ListKind::full, make_servers(9));
     for (int i = 0; i < 30; ++i) {
         const RequestId id = rig.request();
         const ServerId first = rig.where(id);
-        rig.end(id, i % 2 ? Outcome::errored : Outcome::severed, i % 3 ? 10 : 400);
+        rig.end(id, i % 2 ? Outcome::failed : Outcome::connection_lost, i % 3 ? 10 : 400);
         if (i % 3) {
             EXPECT_EQ(rig.where(id) % 3, first % 3);
         } else {
@@ -197,37 +199,37 @@
 
 TEST(Rule2, ByKeyZoneIsNotRefusedAfterAPossibleRunButByKeyAllIs) {
     for (const DedupScope scope : {DedupScope::zone, DedupScope::all}) {
-        Rig rig(make_settings({make_class(Effect::by_key, scope)}));
+        Rig rig(make_settings({make_class(Idempotency::with_key, scope)}));
         rig.list(ListKind::full, make_servers(1));
         const RequestId id = rig.request(0, 300);
-        rig.end(id, Outcome::errored, 10);
-        while (rig.out(id)) rig.end(id, Outcome::errored, 10);
+        rig.end(id, Outcome::failed, 10);
+        while (rig.out(id)) rig.end(id, Outcome::failed, 10);
         rig.settle();
         EXPECT_EQ(rig.requests.at(id).refused, scope == DedupScope::all);
     }
 }
 
 TEST(Rule2, WhereFullIsNoProofASaturatedAttemptMayHaveRun) {
-    for (const Effect effect : {Effect::once, Effect::by_key, Effect::repeatable}) {
+    for (const Idempotency effect : {Idempotency::never, Idempotency::with_key, Idempotency::always}) {
         Settings s = make_settings({make_class(effect, DedupScope::zone)});
-        s.saturated_is_no_proof = true;
+        s.overloaded_may_have_run = true;
         Rig rig(s);
         rig.list(ListKind::full, make_servers(9));
         const RequestId id = rig.request();
         const ServerId first = rig.where(id);
-        rig.end(id, Outcome::saturated);
-        EXPECT_EQ(rig.sends(id), effect == Effect::once ? 1U : 2U);
-        if (effect == Effect::by_key) {
+        rig.end(id, Outcome::overloaded);
+        EXPECT_EQ(rig.sends(id), effect == Idempotency::never ? 1U : 2U);
+        if (effect == Idempotency::with_key) {
             EXPECT_EQ(rig.where(id) % 3, first % 3);
         }
-        while (rig.out(id)) rig.end(id, Outcome::saturated, 1);
+        while (rig.out(id)) rig.end(id, Outcome::overloaded, 1);
         rig.settle();
-        EXPECT_EQ(rig.requests.at(id).refused, effect == Effect::repeatable);
+        EXPECT_EQ(rig.requests.at(id).refused, effect == Idempotency::always);
     }
 }
 
 TEST(Placement, AConfinedClassStaysInItsZoneAtEveryAttempt) {
-    Settings s = make_settings({make_class(Effect::repeatable), make_class(Effect::repeatable)});
+    Settings s = make_settings({make_class(Idempotency::always), make_class(Idempotency::always)});
     s.classes[1].zones = {{2}};
     Rig rig(s);
     rig.list(ListKind::full, make_servers(9));
@@ -235,11 +237,13 @@
         const RequestId id = rig.request(1);
         while (rig.out(id)) {
             EXPECT_EQ(rig.where(id) % 3, 2U);
-            rig.end(id, Outcome::errored, 1);
+            rig.end(id, Outcome::failed, 1);
         }
         rig.now += 500;
     }
-    rig.list(ListKind::incremental, {{2, 2, 0, Phase::off}, {5, 2, 1, Phase::off}, {8, 2, 0, Phase::fading}});
+    rig.list(ListKind::incremental, {{2, 2, 0, EndpointState::removed},
+                                     {5, 2, 1, EndpointState::removed},
+                                     {8, 2, 0, EndpointState::draining}});
     const RequestId id = rig.request(1);
     EXPECT_EQ(rig.sends(id), 0U) << "nowhere to go";
     rig.settle();
@@ -247,7 +251,7 @@
 }
 
 TEST(Placement, AKindBoundClassAlsoTriesColdServersOfItsKindOnly) {
-    Settings s = make_settings({make_class(Effect::repeatable)});
+    Settings s = make_settings({make_class(Idempotency::always)});
     s.classes[0].kinds = {{1}};
     Rig rig(s);
     rig.list(ListKind::full, make_servers(6, rig.now));
@@ -262,7 +266,7 @@
 }
 
 TEST(Placement, AnUnknownClassGoesOnlyWhereEveryClassMay) {
-    Settings s = make_settings({make_class(Effect::repeatable), make_class(Effect::repeatable)});
+    Settings s = make_settings({make_class(Idempotency::always), make_class(Idempotency::always)});
     s.classes[0].zones = {{0, 1}};
     s.classes[1].zones = {{1, 2}};
     Rig rig(s);
@@ -275,8 +279,8 @@
 }
 
 TEST(Rule3, NothingIsSentToADrainingServer) {
-    Rig rig = three(make_class(Effect::repeatable));
-    rig.list(ListKind::incremental, {{1, 0, 0, Phase::fading, 0}});
+    Rig rig = three(make_class(Idempotency::always));
+    rig.list(ListKind::incremental, {{1, 0, 0, EndpointState::draining, 0}});
     for (int i = 0; i < 50; ++i) {
         const RequestId id = rig.request();
         EXPECT_NE(rig.where(id), 1U);
@@ -285,7 +289,7 @@
 }
 
 TEST(Rule1, AHeldRequestIsAnsweredInTime) {
-    Rig rig(make_settings({make_class(Effect::once)}));
+    Rig rig(make_settings({make_class(Idempotency::never)}));
     const RequestId id = rig.request(0, 50);
     EXPECT_EQ(rig.requests.at(id).answers, 0);
     rig.settle();
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -68,14 +68,15 @@
 public:
     explicit LargeFleet(ServerId count) : servers_(make_servers(count)), balancer_(settings(), 1) {
         give(Started{});
-        give(ServerList{ListKind::full, servers_});
+        give(EndpointList{ListKind::full, servers_});
         for (int i = 0; i < 2000; ++i) serve_one();
     }
     // Servers in turn begin to leave and come back, one at a time.
     void change(int count) {
         for (int i = 0; i < count; ++i) {
-            ServerInfo& server = servers_[changes_++ / 2 * kStride % servers_.size()];
-            server.phase = server.phase == Phase::on ? Phase::fading : Phase::on;
+            EndpointInfo& server = servers_[changes_++ / 2 * kStride % servers_.size()];
+            server.state =
+                server.state == EndpointState::active ? EndpointState::draining : EndpointState::active;
             change_.servers.assign(1, server);
             give(change_);
         }
@@ -90,10 +91,10 @@
     }
     // The first `share` of the servers start anew, cold, all at once.
     void restart(double share) {
-        ServerList restarted{ListKind::incremental, {}};
+        EndpointList restarted{ListKind::incremental, {}};
         for (std::size_t i = 0; i < static_cast<std::size_t>(share * static_cast<double>(servers_.size()));
              ++i) {
-            servers_[i].online_since = now_;
+            servers_[i].started_at = now_;
             restarted.servers.push_back(servers_[i]);
         }
         give(restarted);
@@ -106,14 +107,14 @@
     static constexpr std::size_t kStride = 7;
     static Settings settings() {
         Settings settings = make_settings();
-        settings.siblings = 900;
+        settings.fleet_size = 900;
         return settings;
     }
     void give(const Event& event) {
         actions_.clear();
         balancer_.handle(now_, event, actions_);
         for (const Action& action : actions_)
-            if (const Send* send = std::get_if<Send>(&action)) asked_.insert(send->server);
+            if (const SendAttempt* send = std::get_if<SendAttempt>(&action)) asked_.insert(send->server);
     }
     void serve_one() {
         constexpr Millis kAnswer = 20;
@@ -122,10 +123,10 @@
         give(AttemptEnded{request_, 0, Outcome::completed, kAnswer, true});
     }
 
-    std::vector<ServerInfo> servers_;
+    std::vector<EndpointInfo> servers_;
     Balancer balancer_;
     std::vector<Action> actions_;
-    ServerList change_{ListKind::incremental, {}};
+    EndpointList change_{ListKind::incremental, {}};
     std::size_t changes_ = 0;
     Millis now_ = 1e6;
     RequestId request_ = 0;
@@ -212,17 +213,17 @@
 // A change names who has started anew: nothing of what was decided on its earlier life is left.
 TEST(Scale, AServerOutOfThePoolThatStartsAnewIsOneOfManyAgain) {
     Settings settings = make_settings();
-    settings.warm_within = 0;
+    settings.slow_start_window = 0;
     Rig rig(settings);
-    std::vector<ServerInfo> servers = make_servers(6);
+    std::vector<EndpointInfo> servers = make_servers(6);
     rig.list(ListKind::full, servers);
     for (int i = 0; i < 300 && rig.removals() == 0; ++i)  // the windows fill first
         for (const RequestId id : rig.burst(3))
             while (rig.out(id))
-                rig.end(id, i > 100 && rig.where(id) == 1 ? Outcome::errored : Outcome::completed, 10);
+                rig.end(id, i > 100 && rig.where(id) == 1 ? Outcome::failed : Outcome::completed, 10);
     ASSERT_EQ(rig.removals(), 1);
     rig.pass(20000);  // longer than it stays out for
-    servers[0].online_since = rig.now;
+    servers[0].started_at = rig.now;
     rig.list(ListKind::incremental, {servers[0]});
     int there = 0;
     for (int i = 0; i < 10; ++i) {
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -25,7 +25,7 @@
     EXPECT_GT(std::stoi(std::string(seen["Request-Timeout-Ms"])), 0);
     EXPECT_LE(std::stoi(std::string(seen["Request-Timeout-Ms"])), 5000);
     EXPECT_EQ(sidecar->records(), 0u);
-    EXPECT_EQ(sidecar->held().requests, 0u);
+    EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
 
 // An agent that never answers must not keep the sidecar from being ready.
@@ -124,7 +124,7 @@
     c.close();
     until([&] { return a.ended() == 1; });
     EXPECT_EQ(sidecar->records(), 0u);
-    EXPECT_EQ(sidecar->held().requests, 0u);
+    EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
 
 // Rule 3.
@@ -318,7 +318,7 @@
           changed(request("deposit", "id-4"), "Host:", "Idempotency-Key: k\r\nHost:")})
         EXPECT_EQ(ask(bad).result_int(), 400u) << bad;
     EXPECT_EQ(arrived(), 0u);
-    EXPECT_EQ(sidecar->held().requests, 0u);
+    EXPECT_EQ(sidecar->gauges().requests, 0u);
     EXPECT_EQ(ask(fetch).result_int(), 200u);
     EXPECT_EQ(ask(note).result_int(), 200u);
 }
@@ -475,7 +475,7 @@
         for (const auto& r : server->requests)
             if (r["Request-Class"] == "deposit") ++unsafe[std::string(r["Request-Id"])];
     for (const auto& [id, count] : unsafe) EXPECT_LE(count, 4) << id;
-    EXPECT_EQ(sidecar->held().requests, 0u);
+    EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
 
 TEST(Peers, MessagesComeFromPeersAndAreShort) {
--- a/tests/stale_list_test.cpp
+++ b/tests/stale_list_test.cpp
@@ -20,14 +20,14 @@
     }
     static Settings asking() {
         Settings settings = make_settings();
-        settings.list_on_request = true;
-        settings.ask_within = 10000;
+        settings.must_subscribe = true;
+        settings.resubscribe_within = 10000;
         return settings;
     }
     /// A call that began at `failing_since` has been turned away, and so are all after it.
     void turn_away() {
         rig.timers.clear();
-        rig.give(ServerList{ListKind::failed, {}, failing_since + kBound - rig.now});
+        rig.give(EndpointList{ListKind::failed, {}, failing_since + kBound - rig.now});
     }
     void begin_failing() {
         failing_since = rig.now;
@@ -72,7 +72,7 @@
     serve_for(10000);  // its window is full: one failure neither removes it nor shuns it
     begin_failing();
     serve_for(1000);
-    suspect_fails(Outcome::severed);
+    suspect_fails(Outcome::connection_lost);
     EXPECT_GT(serve_for(failing_since + kBound - rig.now - 100), 0) << "until then its answers count";
     rig.now = failing_since + kBound;
     turn_away();
@@ -86,7 +86,7 @@
 TEST_F(StaleList, RemovedServer_pastBound_getsNoTrial) {
     begin_failing();
     serve_for(1000);
-    suspect_fails(Outcome::refused_connection);
+    suspect_fails(Outcome::connect_failed);
     ASSERT_EQ(rig.removals(), 1);
     EXPECT_EQ(serve_for(kBound), 0);
     turn_away();
@@ -97,7 +97,7 @@
 
 TEST_F(StaleList, RestoredServer_pastBound_getsNothing) {
     begin_failing();
-    suspect_fails(Outcome::refused_connection);
+    suspect_fails(Outcome::connect_failed);
     // The calls of the last 12 s have found nobody, so that the time until changes count as told begins late.
     serve_for(10500);
     failing_since = rig.now - 3000;
@@ -106,7 +106,7 @@
     rig.now = failing_since + kBound;
     turn_away();
     EXPECT_GT(serve_for(2000), 0) << "it failed before the list was last true: told since";
-    suspect_fails(Outcome::severed);
+    suspect_fails(Outcome::connection_lost);
     EXPECT_EQ(serve_for(3000), 0);
 }
 
@@ -115,7 +115,7 @@
     serve_for(1000);
     begin_failing();
     // A fourth one that the last list has brought, and that no request has met.
-    std::vector<ServerInfo> all = make_servers(4);
+    std::vector<EndpointInfo> all = make_servers(4);
     rig.list(ListKind::incremental, {all[3]});
     begin_failing();
     r.now = failing_since + kBound - 100;
@@ -139,7 +139,7 @@
     serve_for(1000);
     for (int i = 0; i < 3; ++i) {
         const RequestId id = rig.request();
-        rig.end(id, Outcome::saturated, kServiceTime);
+        rig.end(id, Outcome::overloaded, kServiceTime);
         EXPECT_TRUE(rig.out(id)) << "another is asked";
         rig.end(id, Outcome::completed, kServiceTime);
     }
@@ -148,7 +148,7 @@
 
 // Only the suspect is left on the list, and it is out of the pool: its trial is better than serving no one.
 TEST_F(StaleList, OnlyRemovedServersListed_pastBound_areTried) {
-    suspect_fails(Outcome::refused_connection);
+    suspect_fails(Outcome::connect_failed);
     ASSERT_EQ(rig.removals(), 1);
     rig.list(ListKind::full, make_servers(1));
     begin_failing();
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -455,7 +455,7 @@
         servers.front().turn();
         return servers.front().ended && sidecar->records() == 0;
     });
-    EXPECT_EQ(sidecar->held().requests, 0u);
+    EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
 
 }  // namespace
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -78,7 +78,7 @@
         upstream->start(kServer, std::move(request),
                         [this](Outcome outcome, const Upstream::Response&) { outcomes.push_back(outcome); });
         until([&] { return outcomes.size() > before; });
-        return outcomes.empty() ? Outcome::recalled : outcomes.back();
+        return outcomes.empty() ? Outcome::cancelled : outcomes.back();
     }
     Outcome after_connect_fails_with(int error) {
         faults.fail(SystemCall::connect, error, 1, to(a));
@@ -89,7 +89,7 @@
 TEST_F(ConnectingOut, FailureOfThisMachine_isNotIssuedAndNoVerdict) {
     for (const int error : {EADDRNOTAVAIL, EADDRINUSE, EAGAIN, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM,
                             ENETDOWN, ENETUNREACH, EACCES, EPERM}) {
-        EXPECT_EQ(after_connect_fails_with(error), Outcome::superseded) << std::strerror(error);
+        EXPECT_EQ(after_connect_fails_with(error), Outcome::not_sent) << std::strerror(error);
         EXPECT_EQ(faults.failed(SystemCall::connect), 1);
         EXPECT_EQ(upstream->stats().open, 0u);
     }
@@ -99,14 +99,14 @@
 
 TEST_F(ConnectingOut, FailureOfTheServer_provesThatItNeverRan) {
     for (const int error : {ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH})
-        EXPECT_EQ(after_connect_fails_with(error), Outcome::refused_connection) << std::strerror(error);
+        EXPECT_EQ(after_connect_fails_with(error), Outcome::connect_failed) << std::strerror(error);
     EXPECT_EQ(one(), Outcome::completed);
 }
 
 TEST_F(ConnectingOut, NoSocket_isNotIssuedAndNoVerdict) {
     for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
         faults.fail(SystemCall::socket, error, 1);
-        EXPECT_EQ(one(), Outcome::superseded) << std::strerror(error);
+        EXPECT_EQ(one(), Outcome::not_sent) << std::strerror(error);
         EXPECT_EQ(upstream->stats().open, 0u);
     }
     EXPECT_EQ(one(), Outcome::completed);
@@ -365,14 +365,14 @@
 TEST_F(ConnectingOut, BrokenWriting_neverRan) {
     for (const int error : {EPIPE, ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
         faults.fail(SystemCall::send, error, 1, to(a));
-        EXPECT_EQ(one(), Outcome::refused_connection) << std::strerror(error);
+        EXPECT_EQ(one(), Outcome::connect_failed) << std::strerror(error);
     }
     EXPECT_EQ(a.requests.size(), 0u);
 }
 TEST_F(ConnectingOut, BrokenReading_mayHaveRun) {
     for (const int error : {ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
         faults.fail(SystemCall::receive, error, 1, to(a));
-        EXPECT_EQ(one(), Outcome::severed) << std::strerror(error);
+        EXPECT_EQ(one(), Outcome::connection_lost) << std::strerror(error);
     }
     EXPECT_EQ(a.requests.size(), 3u);
 }
@@ -412,12 +412,13 @@
     std::chrono::steady_clock::time_point called;
 
     void watch(bool persistent = false) {
-        discovery.emplace(io, agent.endpoint(), 41, persistent, 400,
-                          Discovery::Callbacks{[](const MemberList&) {},
-                                               [this](const Discovery::Failure& failure) {
-                                                   failures.push_back(failure);
-                                                   told_after.push_back(since_called() + failure.told_within);
-                                               }});
+        discovery.emplace(
+            io, agent.endpoint(), 41, persistent, 400,
+            Discovery::Callbacks{[](const MemberList&) {},
+                                 [this](const Discovery::Failure& failure) {
+                                     failures.push_back(failure);
+                                     told_after.push_back(since_called() + failure.notified_within);
+                                 }});
         called = std::chrono::steady_clock::now();
         discovery->watch(true);
     }
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -47,7 +47,7 @@
         const std::size_t before = ends.size();
         start();
         until([&] { return ends.size() > before; });
-        return ends.size() > before ? ends.back() : End{Outcome::superseded, {}};
+        return ends.size() > before ? ends.back() : End{Outcome::not_sent, {}};
     }
     Outcome outcome_of(const Reply& reply) {
         ScriptedServer server(io, [&](const auto&) { return reply; });
@@ -63,36 +63,37 @@
 }
 
 TEST_F(UpstreamTest, OnlyTheProofTellsThatItNeverRan) {
-    EXPECT_EQ(outcome_of({response("500 Oops")}), Outcome::errored);
-    EXPECT_EQ(outcome_of({response("503 Full", "", "Not-Started: 1\r\n")}), Outcome::saturated);
-    EXPECT_EQ(outcome_of({response("504 Over", "", "Not-Started: 1\r\n")}), Outcome::saturated);
-    EXPECT_EQ(outcome_of({response("503 Full")}), Outcome::errored);
-    EXPECT_EQ(outcome_of({response("503 Full", "", "Not-Started: 0\r\n")}), Outcome::errored);
-    EXPECT_EQ(outcome_of({response("500 Oops", "", "Not-Started: 1\r\n")}), Outcome::errored);
-    EXPECT_EQ(outcome_of({response("404 Who")}), Outcome::rejected);
-    EXPECT_EQ(outcome_of({response("400 What")}), Outcome::rejected);
-    EXPECT_EQ(outcome_of({response("429 Later")}), Outcome::errored);
+    EXPECT_EQ(outcome_of({response("500 Oops")}), Outcome::failed);
+    EXPECT_EQ(outcome_of({response("503 Full", "", "Not-Started: 1\r\n")}), Outcome::overloaded);
+    EXPECT_EQ(outcome_of({response("504 Over", "", "Not-Started: 1\r\n")}), Outcome::overloaded);
+    EXPECT_EQ(outcome_of({response("503 Full")}), Outcome::failed);
+    EXPECT_EQ(outcome_of({response("503 Full", "", "Not-Started: 0\r\n")}), Outcome::failed);
+    EXPECT_EQ(outcome_of({response("500 Oops", "", "Not-Started: 1\r\n")}), Outcome::failed);
+    EXPECT_EQ(outcome_of({response("404 Who")}), Outcome::invalid_request);
+    EXPECT_EQ(outcome_of({response("400 What")}), Outcome::invalid_request);
+    EXPECT_EQ(outcome_of({response("429 Later")}), Outcome::failed);
 }
 
 // The proof stands in the header: a body that is cut off takes nothing from it.
 TEST_F(UpstreamTest, ACutOffRefusalIsStillAProof) {
     EXPECT_EQ(outcome_of({"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 9\r\n\r\nfu", true}),
-              Outcome::saturated);
+              Outcome::overloaded);
 }
 
 TEST_F(UpstreamTest, AConnectionThatEndsAfterTheRequestMayHaveRun) {
-    EXPECT_EQ(outcome_of({"", true}), Outcome::severed);
-    EXPECT_EQ(outcome_of({"", false, true}), Outcome::severed);
+    EXPECT_EQ(outcome_of({"", true}), Outcome::connection_lost);
+    EXPECT_EQ(outcome_of({"", false, true}), Outcome::connection_lost);
 }
 
 // Never serve what no server made: a body that is cut off, without a stated end, too long, or no HTTP at all.
 TEST_F(UpstreamTest, ATruncatedOrGarbledAnswerIsNoAnswer) {
-    EXPECT_EQ(outcome_of({"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", true}), Outcome::severed);
-    EXPECT_EQ(outcome_of({"HTTP/1.1 200 OK\r\n\r\nuntil the end", true}), Outcome::severed);
-    EXPECT_EQ(outcome_of({"\x16\x03\x01 nonsense\r\n\r\n"}), Outcome::severed);
-    EXPECT_EQ(outcome_of({response("200 OK", std::string(65 * 1024, 'x'))}), Outcome::severed);
+    EXPECT_EQ(outcome_of({"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", true}),
+              Outcome::connection_lost);
+    EXPECT_EQ(outcome_of({"HTTP/1.1 200 OK\r\n\r\nuntil the end", true}), Outcome::connection_lost);
+    EXPECT_EQ(outcome_of({"\x16\x03\x01 nonsense\r\n\r\n"}), Outcome::connection_lost);
+    EXPECT_EQ(outcome_of({response("200 OK", std::string(65 * 1024, 'x'))}), Outcome::connection_lost);
     EXPECT_EQ(outcome_of({"HTTP/1.1 200 OK\r\nContent-Length: 18446744073709551614\r\n\r\n"}),
-              Outcome::severed);
+              Outcome::connection_lost);
 }
 
 TEST_F(UpstreamTest, AnInterimAnswerIsNotTheAnswer) {
@@ -102,7 +103,7 @@
 TEST_F(UpstreamTest, ARefusedConnectionProvesThatItNeverRan) {
     ScriptedServer server(io, {});
     server.close();
-    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::refused_connection);
+    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::connect_failed);
 }
 
 // A machine that vanished says nothing: the connection never comes up. A full backlog behaves alike.
@@ -116,7 +117,7 @@
         filling.back().async_connect(deaf.local_endpoint(), [](error_code) {});
     }
     make({20, 1000, 8});
-    EXPECT_EQ(one(deaf.local_endpoint()).outcome, Outcome::refused_connection);
+    EXPECT_EQ(one(deaf.local_endpoint()).outcome, Outcome::connect_failed);
     EXPECT_EQ(upstream->stats().open, 0u);
 }
 
@@ -134,7 +135,7 @@
     accepted->set_option(asio::socket_base::linger(true, 0));
     accepted->close();
     until([&] { return !ends.empty(); });
-    EXPECT_EQ(ends.at(0).outcome, Outcome::refused_connection);
+    EXPECT_EQ(ends.at(0).outcome, Outcome::connect_failed);
 }
 
 TEST_F(UpstreamTest, WhatIsStoppedMayHaveRunOnceItWasWritten) {
@@ -206,7 +207,7 @@
     EXPECT_EQ(one(server.endpoint()).outcome, Outcome::completed);
     server.script = [](const auto&) { return Reply{"", true}; };
     let_rest(io);
-    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::severed);
+    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::connection_lost);
     EXPECT_EQ(server.requests.size(), 2u);
     EXPECT_EQ(server.connections.size(), 1u);
 }
@@ -266,7 +267,7 @@
     upstream->start(kServer + 1, std::move(ping), [](Outcome, const auto&) {});
     until([&] { return second.requests.size() == 1 && first.ended() == 1; });
     EXPECT_EQ(upstream->stats().open, 1u);
-    EXPECT_EQ(one(first.endpoint()).outcome, Outcome::superseded);
+    EXPECT_EQ(one(first.endpoint()).outcome, Outcome::not_sent);
     EXPECT_EQ(first.requests.size(), 1u);
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -167,12 +167,12 @@
 TEST(Codec, SettingsArriveWhole) {
     const Site site = read_site(Message(std::string_view(start_line).substr(0, start_line.size() - 1), 1));
     EXPECT_EQ(site.settings.classes.size(), 2U);
-    EXPECT_EQ(site.settings.classes[1].effect, Effect::once);
-    EXPECT_EQ(site.settings.classes[0].aim, 400);
+    EXPECT_EQ(site.settings.classes[1].idempotency, Idempotency::never);
+    EXPECT_EQ(site.settings.classes[0].latency_objective, 400);
     EXPECT_EQ(site.settings.my_zone, ZoneId{1});
-    EXPECT_EQ(site.settings.cold_from, 0.16);
-    EXPECT_EQ(site.settings.fees.cross_zone, 0.02);
-    EXPECT_FALSE(site.settings.list_on_request);
+    EXPECT_EQ(site.settings.slow_start_min_capacity, 0.16);
+    EXPECT_EQ(site.settings.costs.cross_zone, 0.02);
+    EXPECT_FALSE(site.settings.must_subscribe);
     EXPECT_EQ(site.classes[1], "deposit");
 }
 
@@ -189,10 +189,10 @@
     EXPECT_FALSE(s.classes[0].kinds);
     EXPECT_EQ(s.classes[1].kinds, std::vector<KindId>{site.kind("slow")});
     EXPECT_FALSE(s.classes[1].zones);
-    EXPECT_TRUE(s.saturated_is_no_proof);
-    EXPECT_EQ(s.ask_within, 7);
-    EXPECT_EQ(s.tenant_shares, std::vector<double>{0.4});
-    EXPECT_EQ(s.over_share_worth, 0.3);
+    EXPECT_TRUE(s.overloaded_may_have_run);
+    EXPECT_EQ(s.resubscribe_within, 7);
+    EXPECT_EQ(s.tenant_quotas, std::vector<double>{0.4});
+    EXPECT_EQ(s.over_quota_weight, 0.3);
 }
 
 TEST(Host, AConfinedClassGoesToItsZoneAndKindOnly) {
