--- a/include/mothring/settings.hpp
+++ b/include/mothring/settings.hpp
@@ -10,6 +10,10 @@
 
 namespace mothring {
 
+constexpr Millis kDefaultLatencyObjective = 1000;
+constexpr Millis kDefaultOverloadWindow = 3000;
+constexpr double kDefaultAffinityLoadBound = 1.25;
+
 /// Whether a request may be executed more than once.
 enum class Idempotency {
     always,    ///< Any number of times.
@@ -29,7 +33,7 @@
     /// run.
     Millis dedup_window = 0;
     /// A response within this time earns its full value. More than 0.
-    Millis latency_objective = 1000;
+    Millis latency_objective = kDefaultLatencyObjective;
     /// The objective grows by this multiple of the request's expected work.
     double objective_per_effort = 0;
     /// The value of one request relative to other classes. 0 or more.
@@ -73,7 +77,7 @@
     /// A server that is warming up collapses when it is sent more than this multiple of its capacity ...
     double overload_multiple = 2;
     /// ... over this time.
-    Millis overload_window = 3000;
+    Millis overload_window = kDefaultOverloadWindow;
     /// A server that answers Outcome::overloaded may have run the request all the same.
     bool overloaded_may_have_run = false;
     /// The share of the service that each tenant is entitled to; empty: there are no tenants.
@@ -82,7 +86,7 @@
     double over_quota_weight = 1;
     Costs costs;
     /// A server's requests in flight against the mean, beyond which its affinity keys go to the next server.
-    double affinity_load_bound = 1.25;
+    double affinity_load_bound = kDefaultAffinityLoadBound;
 };
 
 }  // namespace mothring
--- a/src/lab/discovery.cpp
+++ b/src/lab/discovery.cpp
@@ -6,8 +6,6 @@
 #include <nlohmann/json.hpp>
 #include <string_view>
 
-#include "support.hpp"
-
 namespace mothring::lab {
 
 namespace http = boost::beast::http;
--- a/src/wire/wire.hpp
+++ b/src/wire/wire.hpp
@@ -1,5 +1,5 @@
 // The simulator's wire: a text codec and the host that runs one Balancer for each instance.
-// Nothing here chooses anything; see src/balance.cpp for the decisions.
+// Nothing here chooses anything; the decisions are in src/policy/.
 #pragma once
 
 #include <array>
