--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -17,14 +17,14 @@
 #include <stdexcept>
 
 #include "cluster/freshness_challenges.hpp"
-#include "node/address.hpp"
-#include "node/socket_errors.hpp"
+#include "net/address.hpp"
+#include "net/socket_errors.hpp"
 
 namespace mothring::cluster {
 
 namespace asio = boost::asio;
 using boost::system::error_code;
-using node::endpoint_of;
+using net::endpoint_of;
 
 namespace {
 
@@ -45,7 +45,7 @@
 class Agent::Impl : public std::enable_shared_from_this<Impl> {
 public:
     Impl(asio::io_context& io, Settings settings, std::string name, std::string version, Callbacks callbacks,
-         node::Clock clock)
+         net::Clock clock)
         : io_(io),
           settings_(std::move(settings)),
           callbacks_(std::move(callbacks)),
@@ -61,7 +61,7 @@
         self.name = std::move(name);
         self.life = new_life(clock_.now());
         self.incarnation = static_cast<std::uint64_t>(clock_.now());
-        self.udp = self.tcp = settings_.advertise.value_or(node::written(udp_.local_endpoint()));
+        self.udp = self.tcp = settings_.advertise.value_or(net::written(udp_.local_endpoint()));
         self.version = std::move(version);
         codec_.emplace(settings_.key, self.name, self.life);
         membership_.emplace(self, settings_.parameters, random_());
@@ -132,7 +132,7 @@
         });
     }
     void receive_later() {
-        receive_again_.expires_after(node::span(kReceiveAgain));
+        receive_again_.expires_after(net::span(kReceiveAgain));
         receive_again_.async_wait([self = shared_from_this()](error_code cancelled) {
             if (!cancelled && !self->closed_) self->receive();
         });
@@ -152,7 +152,7 @@
         return true;
     }
     void receive_datagram(std::span<const std::uint8_t> bytes, const Udp::endpoint& sender) {
-        const std::string from = node::written(sender);
+        const std::string from = net::written(sender);
         const auto payload = open(bytes, Codec::kLongestDatagram, from, sender);
         if (!payload) return;
         const auto* const message = std::get_if<Message>(&*payload);
@@ -192,7 +192,7 @@
         const auto to = sender ? sender : known;
         if (!to) return;
         using Receiver = FreshnessChallenges::Receiver;
-        const auto sequence = challenges_.issue(clock_.now(), name, node::written(*to),
+        const auto sequence = challenges_.issue(clock_.now(), name, net::written(*to),
                                                 to == known ? Receiver::member : Receiver::stranger);
         if (sequence) send_datagram({Message::Kind::ping, *sequence, self, name, {}}, *to);
     }
@@ -282,7 +282,7 @@
         std::deque<Tcp::endpoint> unanswered;
         for (const Tcp::endpoint& seed : self->settings_.seeds)
             if (seed != self->acceptor_.local_endpoint() &&
-                node::written(seed) != self->membership_->self().tcp)
+                net::written(seed) != self->membership_->self().tcp)
                 unanswered.push_back(seed);
         const std::vector<Tcp::endpoint> seeds(unanswered.begin(), unanswered.end());
         asio::steady_timer wait(self->io_);
@@ -301,7 +301,7 @@
                 periods = self->membership_->sync_periods();
                 unanswered.push_back(seeds[self->random_() % seeds.size()]);
             }
-            wait.expires_after(node::span(periods * self->settings_.parameters.period));
+            wait.expires_after(net::span(periods * self->settings_.parameters.period));
             co_await wait.async_wait(into(ignored));
         }
     }
@@ -317,7 +317,7 @@
     // Whether the other answered.
     static asio::awaitable<bool> call(Self self, Tcp::endpoint to) {
         auto socket = std::make_shared<Tcp::socket>(self->io_);
-        asio::steady_timer limit(self->io_, node::span(2 * self->settings_.parameters.period));
+        asio::steady_timer limit(self->io_, net::span(2 * self->settings_.parameters.period));
         limit.async_wait([socket](error_code cancelled) {
             if (!cancelled) socket->close(cancelled);
         });
@@ -348,7 +348,7 @@
             if (failed == asio::error::operation_aborted || self->closed_) co_return;
             if (failed && !self->accept_pace_.pauses_after(failed)) continue;
             if (failed) {
-                pause.expires_after(node::span(self->settings_.parameters.period));
+                pause.expires_after(net::span(self->settings_.parameters.period));
                 co_await pause.async_wait(into(failed));
                 continue;
             }
@@ -360,7 +360,7 @@
 
     static asio::awaitable<void> answer(Self self, std::shared_ptr<Tcp::socket> socket) {
         ++self->calls_;
-        asio::steady_timer limit(self->io_, node::span(2 * self->settings_.parameters.period));
+        asio::steady_timer limit(self->io_, net::span(2 * self->settings_.parameters.period));
         limit.async_wait([socket](error_code cancelled) {
             if (!cancelled) socket->close(cancelled);
         });
@@ -421,11 +421,11 @@
     asio::io_context& io_;
     Settings settings_;
     Callbacks callbacks_;
-    node::Clock clock_;
+    net::Clock clock_;
     Udp::socket udp_;
     Tcp::acceptor acceptor_;
     asio::steady_timer timer_, receive_again_;
-    node::FailurePace receive_pace_, accept_pace_;
+    net::FailurePace receive_pace_, accept_pace_;
     std::mt19937_64 random_;
     std::random_device entropy_;
     FreshnessChallenges challenges_;
@@ -441,7 +441,7 @@
 };
 
 Agent::Agent(asio::io_context& io, Settings settings, std::string name, std::string version,
-             Callbacks callbacks, node::Clock clock)
+             Callbacks callbacks, net::Clock clock)
     : impl_(std::make_shared<Impl>(io, std::move(settings), std::move(name), std::move(version),
                                    std::move(callbacks), std::move(clock))) {
     impl_->begin();
--- a/src/cluster/agent.hpp
+++ b/src/cluster/agent.hpp
@@ -14,7 +14,7 @@
 #include "cluster/codec.hpp"
 #include "cluster/membership.hpp"
 #include "cluster/settings.hpp"
-#include "node/clock.hpp"
+#include "net/clock.hpp"
 
 namespace mothring::cluster {
 
@@ -43,7 +43,7 @@
     /// Listens when it returns. Throws boost::system::system_error where it can't. The member's life and
     /// first incarnation are taken from `clock` (Unix ms), and all its times are counted by it.
     Agent(boost::asio::io_context& io, Settings settings, std::string name, std::string version,
-          Callbacks callbacks, node::Clock clock = node::Clock());
+          Callbacks callbacks, net::Clock clock = net::Clock());
     ~Agent();
     Agent(const Agent&) = delete;
     Agent& operator=(const Agent&) = delete;
--- a/src/node/config.cpp
+++ b/src/config/config.cpp
@@ -1,13 +1,12 @@
-#include "node/config.hpp"
+#include "config/config.hpp"
 
 #include <algorithm>
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "node/overflowing_numbers.hpp"
-#include "node/server_start_times.hpp"
+#include "config/overflowing_numbers.hpp"
 
-namespace mothring::node {
+namespace mothring::config {
 
 namespace {
 
@@ -50,7 +49,7 @@
 
 template <class Protocol>
 typename Protocol::endpoint endpoint(const std::string& text, const std::string& key) {
-    const auto read = endpoint_of<typename Protocol::endpoint>(text);
+    const auto read = net::endpoint_of<typename Protocol::endpoint>(text);
     if (!read) fail(key, "is not ADDRESS:PORT");
     return *read;
 }
@@ -97,15 +96,15 @@
     return at->is_number() ? at->get<Millis>() : kUnreadableStart;
 }
 
-MemberList members(const Json& json) {
-    MemberList list;
+DiscoveryList members(const Json& json) {
+    DiscoveryList list;
     list.version = get<std::uint64_t>(json, "version");
     list.full = get<bool>(json, "full");
     const Json& servers = member(json, "servers");
     if (!servers.is_array()) fail("servers", "has the wrong type");
     for (const Json& entry : servers) {
         if (!entry.is_object()) fail("servers", "has the wrong type");
-        Member m;
+        DiscoveredServer m;
         m.id = get<std::string>(entry, "id");
         // A word not known is handled as the careful one of those that are: nothing new goes there.
         const auto state = get<std::string>(entry, "state");
@@ -113,7 +112,7 @@
                   : state == "Gone" ? EndpointState::removed
                                     : EndpointState::draining;
         if (m.state != EndpointState::removed || entry.contains("addr"))
-            m.address = get_endpoint<Tcp>(entry, "addr");
+            m.address = get_endpoint<net::Tcp>(entry, "addr");
         m.zone = get_or<std::string>(entry, "zone", "");
         m.kind = get_or<std::string>(entry, "kind", "");
         m.cell = get_or<std::uint32_t>(entry, "cell", 0);
@@ -125,7 +124,7 @@
 
 std::uint64_t read_seed(const std::string& hex) {
     std::uint64_t seed = 0;
-    if (!parse(hex, seed, 16)) fail("seed", "is not a hexadecimal number");
+    if (!net::parse_number(hex, seed, 16)) fail("seed", "is not a hexadecimal number");
     return seed;
 }
 
@@ -154,18 +153,18 @@
     const Json json = read_object(text);
     Config config;
     config.name = get<std::string>(json, "name");
-    config.listen = get_endpoint<Tcp>(json, "listen");
-    config.discovery = get_endpoint<Tcp>(json, "discovery");
+    config.listen = get_endpoint<net::Tcp>(json, "listen");
+    config.discovery = get_endpoint<net::Tcp>(json, "discovery");
     config.seed = read_seed(get<std::string>(json, "seed"));
     if (const Json limits = get_or<Json>(json, "limits", Json::object()); limits.is_object())
         config.sockets = get_or<std::size_t>(limits, "sockets", config.sockets),
         config.memory_mb = get_or<std::size_t>(limits, "memory_mb", config.memory_mb);
     if (const auto text = get_or<std::string>(json, "operator", ""); !text.empty())
         config.operators = read_address(text, "operator");
-    if (json.contains("peer_listen")) config.peer_listen = get_endpoint<Udp>(json, "peer_listen");
-    if (json.contains("peers_all")) config.peers_all = get_endpoint<Udp>(json, "peers_all");
+    if (json.contains("peer_listen")) config.peer_listen = get_endpoint<net::Udp>(json, "peer_listen");
+    if (json.contains("peers_all")) config.peers_all = get_endpoint<net::Udp>(json, "peers_all");
     for (const std::string& peer : get_or<std::vector<std::string>>(json, "peers", {}))
-        config.peers.push_back(endpoint<Udp>(peer, "peers"));
+        config.peers.push_back(endpoint<net::Udp>(peer, "peers"));
     config.known = members(member(json, "known"));
     const Json& settings = member(json, "settings");
     if (!settings.is_object()) fail("settings", "has the wrong type");
@@ -173,10 +172,10 @@
     return config;
 }
 
-Tcp::endpoint read_address(const std::string& text, const std::string& key) {
-    return endpoint<Tcp>(text, key);
+net::Tcp::endpoint read_address(const std::string& text, const std::string& key) {
+    return endpoint<net::Tcp>(text, key);
 }
 
-MemberList read_members(std::string_view json) { return members(read_object(json)); }
+DiscoveryList read_members(std::string_view json) { return members(read_object(json)); }
 
-}  // namespace mothring::node
+}  // namespace mothring::config
--- a/src/node/config.hpp
+++ b/src/config/config.hpp
@@ -2,8 +2,6 @@
 // key.
 #pragma once
 
-#include <boost/asio/ip/tcp.hpp>
-#include <boost/asio/ip/udp.hpp>
 #include <optional>
 #include <stdexcept>
 #include <string>
@@ -11,47 +9,47 @@
 #include <vector>
 
 #include "cluster/settings.hpp"
-#include "node/address.hpp"
-#include "node/clock.hpp"
-#include "settings/site.hpp"
+#include "config/site.hpp"
+#include "net/address.hpp"
+#include "net/clock.hpp"
 
-namespace mothring::node {
-
-using Tcp = boost::asio::ip::tcp;
-using Udp = boost::asio::ip::udp;
+namespace mothring::config {
 
 struct ConfigError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
+// In the place of a reported start that is no number.
+constexpr Millis kUnreadableStart = -1;
+
 // A server as discovery tells of it.
-struct Member {
+struct DiscoveredServer {
     std::string id;
-    Tcp::endpoint address;
+    net::Tcp::endpoint address;
     std::string zone;
     std::string kind;
     std::uint32_t cell = 0;
     EndpointState state = EndpointState::active;
     Millis started = 0;
 };
-struct MemberList {
+struct DiscoveryList {
     std::uint64_t version = 0;
     bool full = false;
-    std::vector<Member> members;
+    std::vector<DiscoveredServer> members;
 };
 
 struct Config {
     std::string name;
-    Tcp::endpoint listen;
-    Tcp::endpoint discovery;
+    net::Tcp::endpoint listen;
+    net::Tcp::endpoint discovery;
     std::uint64_t seed = 0;
     std::size_t sockets = 1024;
     std::size_t memory_mb = 192;
-    std::optional<Tcp::endpoint> operators;  // where they call; none: nowhere
-    std::optional<Udp::endpoint> peer_listen;
-    std::vector<Udp::endpoint> peers;
-    std::optional<Udp::endpoint> peers_all;
-    MemberList known;
+    std::optional<net::Tcp::endpoint> operators;  // where they call; none: nowhere
+    std::optional<net::Udp::endpoint> peer_listen;
+    std::vector<net::Udp::endpoint> peers;
+    std::optional<net::Udp::endpoint> peers_all;
+    DiscoveryList known;
     Site site;
     // Of the settings, what the sockets need and the module does not.
     Millis connect_timeout = 250;
@@ -66,15 +64,15 @@
         std::string header;      // whose value is the key; empty: the path and query are
     };
     std::vector<Affinity> affinity;
-    std::optional<cluster::Settings> cluster;           // none: the sidecars share nothing
-    Millis clock_skew = 0;                              // by which this process's clock is off, on purpose
-    ReadWallClock read_wall_clock = read_system_clock;  // tests step it
+    std::optional<cluster::Settings> cluster;  // none: the sidecars share nothing
+    Millis clock_skew = 0;                     // by which this process's clock is off, on purpose
+    net::ReadWallClock read_wall_clock = net::read_system_clock;  // tests step it
 };
 
 Config read_config(std::string_view json);
 // ADDRESS:PORT; throws ConfigError naming the key.
-Tcp::endpoint read_address(const std::string& text, const std::string& key);
+net::Tcp::endpoint read_address(const std::string& text, const std::string& key);
 // Discovery's form of a list; throws ConfigError.
-MemberList read_members(std::string_view json);
+DiscoveryList read_members(std::string_view json);
 
-}  // namespace mothring::node
+}  // namespace mothring::config
--- a/src/node/options.cpp
+++ b/src/config/options.cpp
@@ -1,12 +1,12 @@
-#include "node/options.hpp"
+#include "config/options.hpp"
 
 #include <cstdlib>
 #include <nlohmann/json.hpp>
 
 #include "cluster/codec.hpp"
-#include "node/toml.hpp"
+#include "config/toml.hpp"
 
-namespace mothring::node {
+namespace mothring::config {
 
 namespace {
 
@@ -14,10 +14,10 @@
 
 template <class Endpoint>
 Json written_if(const std::optional<Endpoint>& endpoint) {
-    return endpoint ? Json(written(*endpoint)) : Json();
+    return endpoint ? Json(net::written(*endpoint)) : Json();
 }
 
-std::string level_name(LogLevel level) {
+std::string level_name(net::LogLevel level) {
     const auto name = spdlog::level::to_string_view(level);
     return {name.data(), name.size()};
 }
@@ -26,17 +26,17 @@
 std::optional<Endpoint> address(TomlTable& table, const std::string& key) {
     const auto text = table.text(key);
     if (!text) return std::nullopt;
-    auto endpoint = endpoint_of<Endpoint>(*text);
+    auto endpoint = net::endpoint_of<Endpoint>(*text);
     if (!endpoint) table.fail(key, "is not ADDRESS:PORT");
     return endpoint;
 }
 
 cluster::Settings read_cluster(TomlTable& table) {
     cluster::Settings s;
-    const auto bind = address<Udp::endpoint>(table, "bind");
+    const auto bind = address<net::Udp::endpoint>(table, "bind");
     if (!bind) table.fail("bind", "is missing");
     s.bind = *bind;
-    if (const auto told = address<Tcp::endpoint>(table, "advertise")) s.advertise = written(*told);
+    if (const auto told = address<net::Tcp::endpoint>(table, "advertise")) s.advertise = net::written(*told);
     if (const auto path = table.text("key_file")) {
         const std::filesystem::path file = *path;
         s.key =
@@ -49,7 +49,7 @@
         table.fail(key, "expects a shared key of " + std::to_string(cluster::Codec::kShortestKey) +
                             " bytes or more");
     for (const std::string& text : table.texts("seeds").value_or(std::vector<std::string>{})) {
-        const auto seed = endpoint_of<Tcp::endpoint>(text);
+        const auto seed = net::endpoint_of<net::Tcp::endpoint>(text);
         if (!seed) table.fail("seeds", "expects a list of ADDRESS:PORT");
         s.seeds.push_back(*seed);
     }
@@ -61,7 +61,8 @@
     for (TomlTable& peer : table.tables("peers")) {
         const auto name = peer.text("name");
         if (!name) peer.fail("name", "is missing");
-        s.routes[*name] = {address<Udp::endpoint>(peer, "udp"), address<Tcp::endpoint>(peer, "tcp")};
+        s.routes[*name] = {address<net::Udp::endpoint>(peer, "udp"),
+                           address<net::Tcp::endpoint>(peer, "tcp")};
         peer.done();
     }
     table.done();
@@ -82,13 +83,13 @@
         platform->done();
     }
     if (auto sidecar = root.table("sidecar")) {
-        options.operators = address<Tcp::endpoint>(*sidecar, "operator");
+        options.operators = address<net::Tcp::endpoint>(*sidecar, "operator");
         sidecar->number_into(options.clock_skew, "clock_skew_ms", -kMostSkew, kMostSkew);
         sidecar->done();
     }
     if (auto log = root.table("log")) {
         if (const auto name = log->text("level")) {
-            const auto level = log_level(*name);
+            const auto level = net::log_level(*name);
             if (!level) log->fail("level", "is not one of trace, debug, info, warn, error, critical, off");
             options.log_level = *level;
         }
@@ -147,10 +148,10 @@
 
 std::string describe(const Config& config, const Options& options) {
     Json peers = Json::array();
-    for (const auto& peer : config.peers) peers.push_back(written(peer));
+    for (const auto& peer : config.peers) peers.push_back(net::written(peer));
     const Json out = {{"name", config.name},
-                      {"listen", written(config.listen)},
-                      {"discovery", written(config.discovery)},
+                      {"listen", net::written(config.listen)},
+                      {"discovery", net::written(config.discovery)},
                       {"seed", config.seed},
                       {"limits", {{"sockets", config.sockets}, {"memory_mb", config.memory_mb}}},
                       {"operator", written_if(config.operators)},
@@ -165,7 +166,7 @@
                       {"may_probe", config.may_probe},
                       {"may_tell", config.may_tell},
                       {"clock_skew_ms", config.clock_skew},
-                      {"cluster", config.cluster ? Json(written(config.cluster->bind)) : Json()},
+                      {"cluster", config.cluster ? Json(net::written(config.cluster->bind)) : Json()},
                       {"affinity_rules", config.affinity.size()},
                       {"log_level", level_name(options.log_level)}};
     return out.dump(2);
@@ -185,4 +186,4 @@
     }
 }
 
-}  // namespace mothring::node
+}  // namespace mothring::config
--- a/src/node/options.hpp
+++ b/src/config/options.hpp
@@ -27,15 +27,15 @@
 #include <string>
 #include <string_view>
 
-#include "node/config.hpp"
-#include "node/log.hpp"
+#include "config/config.hpp"
+#include "net/log.hpp"
 
-namespace mothring::node {
+namespace mothring::config {
 
 struct Options {
     std::optional<std::filesystem::path> platform_config;
-    std::optional<Tcp::endpoint> operators;
-    LogLevel log_level = LogLevel::info;
+    std::optional<net::Tcp::endpoint> operators;
+    net::LogLevel log_level = net::LogLevel::info;
     Millis clock_skew = 0;
     std::optional<cluster::Settings> cluster;
     std::vector<Config::Affinity> affinity;
@@ -63,4 +63,4 @@
 // Reads `path` (a .toml, or the platform's JSON) as `run` would and describes it. ConfigError as above.
 std::string check_file(const std::filesystem::path& path);
 
-}  // namespace mothring::node
+}  // namespace mothring::config
--- a/src/node/overflowing_numbers.cpp
+++ b/src/config/overflowing_numbers.cpp
@@ -1,9 +1,9 @@
-#include "node/overflowing_numbers.hpp"
+#include "config/overflowing_numbers.hpp"
 
 #include <nlohmann/json.hpp>
 #include <optional>
 
-namespace mothring::node {
+namespace mothring::config {
 
 namespace {
 
@@ -56,4 +56,4 @@
     return text;
 }
 
-}  // namespace mothring::node
+}  // namespace mothring::config
--- a/src/node/overflowing_numbers.hpp
+++ b/src/config/overflowing_numbers.hpp
@@ -4,11 +4,11 @@
 
 #include <string>
 
-namespace mothring::node {
+namespace mothring::config {
 
 /// Replaces such numbers in the text by `null`, so that one absurd value costs its reader that value and not
 /// everything beside it. Handles as many as 16, as each takes one more pass over the text; what is left over,
 /// or is not JSON, stays as it is.
 std::string without_overflowing_numbers(std::string text);
 
-}  // namespace mothring::node
+}  // namespace mothring::config
--- a/src/settings/site.cpp
+++ b/src/config/site.cpp
@@ -1,8 +1,10 @@
-#include "settings/site.hpp"
+#include "config/site.hpp"
 
 #include <algorithm>
 #include <cmath>
 
+#include "net/parse_number.hpp"
+
 namespace mothring {
 
 namespace {
@@ -46,7 +48,7 @@
 
 double Fields::number(std::string_view field) const {
     double value = 0;
-    if (!parse(text(field), value) || !std::isfinite(value)) fail(field, "is not a number");
+    if (!net::parse_number(text(field), value) || !std::isfinite(value)) fail(field, "is not a number");
     return value;
 }
 
@@ -56,7 +58,7 @@
 
 std::uint64_t Fields::integer(std::string_view field) const {
     std::uint64_t value = 0;
-    if (!parse(text(field), value)) fail(field, "is not a whole number");
+    if (!net::parse_number(text(field), value)) fail(field, "is not a whole number");
     return value;
 }
 
--- a/src/settings/site.hpp
+++ b/src/config/site.hpp
@@ -2,7 +2,6 @@
 // sidecar's configuration alike.
 #pragma once
 
-#include <charconv>
 #include <cstdint>
 #include <optional>
 #include <stdexcept>
@@ -15,13 +14,6 @@
 
 namespace mothring {
 
-// The whole text as a number, in the base given for whole ones; false where it is none.
-template <class T, class... Base>
-bool parse(std::string_view text, T& value, Base... base) {
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base...);
-    return error == std::errc() && end == text.data() + text.size();
-}
-
 // What can't be read; what() names the place and the field.
 struct FieldError : std::runtime_error {
     using std::runtime_error::runtime_error;
--- a/src/node/toml.cpp
+++ b/src/config/toml.cpp
@@ -1,4 +1,4 @@
-#include "node/toml.hpp"
+#include "config/toml.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <iterator>
 #include <sstream>
 
-namespace mothring::node {
+namespace mothring::config {
 
 namespace {
 
@@ -136,4 +136,4 @@
     fail(key, "is not one of " + list);
 }
 
-}  // namespace mothring::node
+}  // namespace mothring::config
--- a/src/node/toml.hpp
+++ b/src/config/toml.hpp
@@ -15,9 +15,9 @@
 #include <utility>
 #include <vector>
 
-#include "node/config.hpp"
+#include "config/config.hpp"
 
-namespace mothring::node {
+namespace mothring::config {
 
 // The file's bytes; ConfigError "WHAT names a file that can't be read: PATH".
 std::string read_file(const std::filesystem::path& path, const std::string& what);
@@ -76,4 +76,4 @@
     std::set<std::string, std::less<>> asked_;
 };
 
-}  // namespace mothring::node
+}  // namespace mothring::config
--- a/src/lab/asio.hpp
+++ b/src/lab/asio.hpp
@@ -17,16 +17,16 @@
 #include <thread>
 #include <type_traits>
 
-#include "node/clock.hpp"
-#include "node/config.hpp"
+#include "config/config.hpp"
+#include "net/clock.hpp"
 
 namespace mothring::lab {
 
 namespace asio = boost::asio;
 using boost::system::error_code;
-using node::span;
-using node::Tcp;
-using node::Udp;
+using net::span;
+using net::Tcp;
+using net::Udp;
 using Task = asio::awaitable<void>;
 
 inline const Tcp::endpoint any_tcp_port(asio::ip::address_v4::loopback(), 0);
--- a/src/lab/discovery.cpp
+++ b/src/lab/discovery.cpp
@@ -24,7 +24,7 @@
         const std::string_view pair = rest.substr(0, end);
         std::uint64_t value = 0;
         if (pair.size() > name.size() && pair.substr(0, name.size()) == name && pair[name.size()] == '=' &&
-            parse(pair.substr(name.size() + 1), value))
+            net::parse_number(pair.substr(name.size() + 1), value))
             return value;
         rest = end == std::string_view::npos ? std::string_view() : rest.substr(end + 1);
     }
@@ -77,7 +77,7 @@
 void DiscoveryStandIn::restarted(const std::string& id) {
     worker_.call([&] {
         ++version_;
-        entries_.at(id).started_ms = static_cast<std::uint64_t>(node::read_system_clock() + stepped_by_);
+        entries_.at(id).started_ms = static_cast<std::uint64_t>(net::read_system_clock() + stepped_by_);
         changed(id);
         wake();
     });
@@ -115,7 +115,7 @@
     for (const auto& [id, entry] : entries_) {
         if (full ? entry.state == "Gone" : changed_at_.at(id) <= from) continue;
         servers.push_back({{"id", id},
-                           {"addr", node::written(address_of_(viewer, id))},
+                           {"addr", net::written(address_of_(viewer, id))},
                            {"zone", entry.zone},
                            {"kind", entry.kind},
                            {"cell", entry.cell},
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -86,11 +86,11 @@
 void Fleet::adopt_addresses(std::size_t i, const Json& listening) {
     Sidecar& sidecar = sidecars_.at(i);
     SidecarAddresses& own = sidecar.addresses;
-    own.listen = node::read_address(listening.value("listen", ""), "listen");
+    own.listen = config::read_address(listening.value("listen", ""), "listen");
     if (listening.contains("operator"))
-        own.operators = node::read_address(listening.value("operator", ""), "operator");
+        own.operators = config::read_address(listening.value("operator", ""), "operator");
     for (const char* const key : {"peers", "cluster"})
-        if (const auto peers = node::endpoint_of<Udp::endpoint>(listening.value(key, ""))) {
+        if (const auto peers = net::endpoint_of<Udp::endpoint>(listening.value(key, ""))) {
             own.peers = *peers;
             platform_.relay().set_peer_address(sidecar.name, own.peers);
         }
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -3,15 +3,15 @@
 #include <algorithm>
 #include <sstream>
 
-#include "node/options.hpp"
-#include "node/toml.hpp"
+#include "config/options.hpp"
+#include "config/toml.hpp"
 
 namespace mothring::lab {
 
 namespace {
 
-using node::ConfigError;
-using node::TomlTable;
+using config::ConfigError;
+using config::TomlTable;
 
 constexpr double kLongest = 3600;  // s: every experiment ends by itself
 constexpr std::size_t kMostSidecars = 1024, kMostServers = 1024;
@@ -63,7 +63,7 @@
     table.integer_into(s.sidecars, "count", 1, kMostSidecars);
     table.flag_into(s.may_tell, "may_tell");
     if (const auto mode = table.one_of("list", {"pushed", "on_request"})) s.must_subscribe = *mode == 1;
-    table.number_into(s.clock_skew, "clock_skew_ms", -node::kMostSkew, node::kMostSkew);
+    table.number_into(s.clock_skew, "clock_skew_ms", -config::kMostSkew, config::kMostSkew);
     table.integer_into(s.skewed, "skewed", 0, s.sidecars);
     if (auto cluster = table.table("cluster")) {
         s.cluster_period = cluster->number("period_ms", 10.0, 60000.0).value_or(1000);
@@ -75,7 +75,7 @@
         text << options->raw();
         s.sidecar_toml = text.str();
         try {  // what a sidecar would refuse is refused before anything starts
-            node::read_options(s.sidecar_toml, "sidecars.options");
+            config::read_options(s.sidecar_toml, "sidecars.options");
         } catch (const ConfigError& error) {
             table.fail("options", std::string("is refused: ") + error.what());
         }
@@ -209,7 +209,7 @@
 }
 
 Scenario read_scenario(std::string_view text, const std::filesystem::path& source) {
-    const toml::table document = node::parse_toml(text, source);
+    const toml::table document = config::parse_toml(text, source);
     TomlTable root(document, source);
     Scenario s;
     s.name = root.text("name").value_or(source.stem().string());
@@ -235,7 +235,7 @@
 }
 
 Scenario load_scenario(const std::filesystem::path& path) {
-    return read_scenario(node::read_file(path, "SCENARIO"), path);
+    return read_scenario(config::read_file(path, "SCENARIO"), path);
 }
 
 }  // namespace mothring::lab
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -75,7 +75,7 @@
     std::set<std::string> select(const std::vector<std::string>& selectors) const;
 };
 
-// Throws node::ConfigError as "SOURCE:LINE: 'KEY' REASON".
+// Throws config::ConfigError as "SOURCE:LINE: 'KEY' REASON".
 Scenario read_scenario(std::string_view text, const std::filesystem::path& source);
 Scenario load_scenario(const std::filesystem::path& path);
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -20,18 +20,20 @@
 #include <thread>
 #include <vector>
 
-#include "node/config.hpp"
-#include "node/log.hpp"
-#include "node/options.hpp"
+#include "config/config.hpp"
+#include "config/options.hpp"
+#include "net/log.hpp"
+#include "net/socket_errors.hpp"
 #include "node/sidecar.hpp"
-#include "node/socket_errors.hpp"
 
 namespace {
 
+namespace config = mothring::config;
+namespace net = mothring::net;
 namespace node = mothring::node;
 
-node::Options options_at(const std::optional<std::filesystem::path>& path) {
-    return path ? node::load_options(*path) : node::Options{};
+config::Options options_at(const std::optional<std::filesystem::path>& path) {
+    return path ? config::load_options(*path) : config::Options{};
 }
 
 // Standard descriptors that the platform left closed would be the numbers of the first sockets, and what is
@@ -48,9 +50,9 @@
 
 // Throws where it can't start.
 void serve(const std::optional<std::filesystem::path>& options_path) {
-    const node::Options options = options_at(options_path);
-    node::Config config = node::effective_config(options);
-    node::log_start(config.name, options.log_level);
+    const config::Options options = options_at(options_path);
+    config::Config config = config::effective_config(options);
+    net::log_start(config.name, options.log_level);
     boost::asio::io_context io(1);
     // Before anything listens: from then on a signal may come, and its default action would end all.
     boost::asio::signal_set signals(io, SIGTERM, SIGINT), reload(io, SIGHUP);
@@ -63,10 +65,10 @@
             if (failed) return;
             await_reload();
             try {
-                const node::Options again = options_at(options_path);
-                sidecar.reconfigure(node::effective_config(again));
+                const config::Options again = options_at(options_path);
+                sidecar.reconfigure(config::effective_config(again));
             } catch (const std::exception& error) {  // what it has goes on serving
-                node::log(node::LogLevel::err, "config.reload_failed", {{"error", error.what()}});
+                net::log(net::LogLevel::err, "config.reload_failed", {{"error", error.what()}});
             }
         });
     };
@@ -74,7 +76,7 @@
     while (!io.stopped()) try {
             io.run();
         } catch (const std::exception& error) {  // what one connection threw does not end the others
-            node::log(node::LogLevel::err, "io.failed", {{"error", error.what()}});
+            net::log(net::LogLevel::err, "io.failed", {{"error", error.what()}});
             sidecar.note_failure();
         }
 }
@@ -91,8 +93,8 @@
             serve(options_path);
             return 0;
         } catch (const boost::system::system_error& error) {
-            if (!node::is_shortage(error.code()) || starts == kStarts) return not_started(error);
-            node::log(node::LogLevel::warn, "start.put_off", {{"error", error.what()}});
+            if (!net::is_shortage(error.code()) || starts == kStarts) return not_started(error);
+            net::log(net::LogLevel::warn, "start.put_off", {{"error", error.what()}});
             std::this_thread::sleep_for(kStartAgain);
         } catch (const std::exception& error) {
             return not_started(error);
@@ -102,7 +104,7 @@
 // Exit 0 with the effective settings on standard output; 2 with the key and reason on standard error.
 int check_config(const std::filesystem::path& path) {
     try {
-        std::cout << node::check_file(path) << '\n';
+        std::cout << config::check_file(path) << '\n';
         return 0;
     } catch (const std::exception& error) {
         std::cerr << "mothring: " << error.what() << '\n';  // the TOML's errors start with file and line
--- a/src/node/address.hpp
+++ b/src/net/address.hpp
@@ -2,14 +2,19 @@
 #pragma once
 
 #include <boost/asio/ip/address.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/ip/udp.hpp>
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
 
-#include "settings/site.hpp"
+#include "net/parse_number.hpp"
 
-namespace mothring::node {
+namespace mothring::net {
+
+using Tcp = boost::asio::ip::tcp;
+using Udp = boost::asio::ip::udp;
 
 template <class Endpoint>
 std::string written(const Endpoint& endpoint) {
@@ -23,9 +28,9 @@
     boost::system::error_code error;
     const auto address = boost::asio::ip::make_address(text.substr(0, colon), error);
     std::uint16_t port = 0;
-    if (colon == std::string::npos || error || !parse(std::string_view(text).substr(colon + 1), port))
+    if (colon == std::string::npos || error || !parse_number(std::string_view(text).substr(colon + 1), port))
         return std::nullopt;
     return Endpoint(address, port);
 }
 
-}  // namespace mothring::node
+}  // namespace mothring::net
--- a/src/node/pipe.hpp
+++ b/src/net/body_buffer.hpp
@@ -10,24 +10,24 @@
 #include <string>
 #include <string_view>
 
-namespace mothring::node {
+namespace mothring::net {
 
 // What all buffers of a sidecar may hold together. Beyond it each still gets kLeast, so that all go on.
-struct Budget {
+struct BufferBudget {
     std::size_t limit = 0, used = 0;
 };
 
-class Pipe {
+class BodyBuffer {
 public:
     static constexpr std::size_t kMost = 64 * 1024;  // also what is kept whole for another try
     static constexpr std::size_t kLeast = 4 * 1024;
 
     // `length`: of the whole body, where that is known.
-    Pipe(std::shared_ptr<Budget> budget, std::optional<std::uint64_t> length)
+    BodyBuffer(std::shared_ptr<BufferBudget> budget, std::optional<std::uint64_t> length)
         : length(length), budget_(std::move(budget)) {}
-    ~Pipe() { resize(0); }
-    Pipe(const Pipe&) = delete;
-    Pipe& operator=(const Pipe&) = delete;
+    ~BodyBuffer() { resize(0); }
+    BodyBuffer(const BodyBuffer&) = delete;
+    BodyBuffer& operator=(const BodyBuffer&) = delete;
 
     const std::optional<std::uint64_t> length;
 
@@ -88,11 +88,11 @@
         budget_->used += capacity_ = capacity;
     }
 
-    std::shared_ptr<Budget> budget_;
+    std::shared_ptr<BufferBudget> budget_;
     std::unique_ptr<char[]> bytes_;
     std::size_t capacity_ = 0, size_ = 0, read_ = 0;
     std::uint64_t total_ = 0;
     bool kept_ = true, whole_ = false, broken_ = false;
 };
 
-}  // namespace mothring::node
+}  // namespace mothring::net
--- a/src/node/clock.hpp
+++ b/src/net/clock.hpp
@@ -6,9 +6,9 @@
 #include <functional>
 #include <utility>
 
-#include "mothring/balancer.hpp"
+#include "mothring/types.hpp"
 
-namespace mothring::node {
+namespace mothring::net {
 
 inline Millis millis(auto length) { return std::chrono::duration<Millis, std::milli>(length).count(); }
 inline std::chrono::microseconds span(Millis length) {
@@ -43,4 +43,4 @@
     Steady::time_point steady_;
 };
 
-}  // namespace mothring::node
+}  // namespace mothring::net
--- a/src/node/message.hpp
+++ b/src/net/http_message.hpp
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <utility>
 
-namespace mothring::node {
+namespace mothring::net {
 
 constexpr std::size_t kBodyLimit = 64 * 1024;             // of what is kept whole
 constexpr std::uint64_t kLargestBody = 32 * 1024 * 1024;  // of what is passed on
@@ -61,4 +61,4 @@
         }
 }
 
-}  // namespace mothring::node
+}  // namespace mothring::net
--- a/src/node/interrupted_calls.hpp
+++ b/src/net/interrupted_calls.hpp
@@ -3,7 +3,7 @@
 
 #include <cerrno>
 
-namespace mothring::node {
+namespace mothring::net {
 
 /// Makes a system call that does not wait, `call()`, anew while signals interrupt it, `most_tries` times at
 /// most. Returns its last result; where that is negative, errno tells why, EINTR if it never got through.
@@ -17,4 +17,4 @@
     return result;
 }
 
-}  // namespace mothring::node
+}  // namespace mothring::net
--- a/src/node/log.cpp
+++ b/src/net/log.cpp
@@ -1,4 +1,4 @@
-#include "node/log.hpp"
+#include "net/log.hpp"
 
 #include <fcntl.h>
 #include <spdlog/logger.h>
@@ -15,9 +15,9 @@
 #include <mutex>
 #include <optional>
 
-#include "node/socket_errors.hpp"
+#include "net/socket_errors.hpp"
 
-namespace mothring::node {
+namespace mothring::net {
 
 namespace {
 
@@ -168,7 +168,7 @@
     any_ = true;
     last_ = now;
     if (skipped_ && fields.is_object()) fields["skipped"] = std::exchange(skipped_, 0);
-    node::log(level, event, std::move(fields));
+    net::log(level, event, std::move(fields));
 }
 
 std::optional<LogLevel> log_level(std::string_view name) {
@@ -178,4 +178,4 @@
     return level;
 }
 
-}  // namespace mothring::node
+}  // namespace mothring::net
--- a/src/node/log.hpp
+++ b/src/net/log.hpp
@@ -15,7 +15,7 @@
 #include <string>
 #include <string_view>
 
-namespace mothring::node {
+namespace mothring::net {
 
 using LogFields = nlohmann::json;
 using LogLevel = spdlog::level::level_enum;
@@ -48,4 +48,4 @@
 // "trace", "debug", "info", "warn" or "warning", "error", "critical", "off"; nullopt for any other.
 std::optional<LogLevel> log_level(std::string_view name);
 
-}  // namespace mothring::node
+}  // namespace mothring::net
--- a/src/node/message_writer.hpp
+++ b/src/net/message_writer.hpp
@@ -10,9 +10,9 @@
 #include <functional>
 #include <memory>
 
-#include "node/config.hpp"
+#include "net/address.hpp"
 
-namespace mothring::node {
+namespace mothring::net {
 
 /// One non-blocking write of as much as the kernel takes. Returns whether everything has been written; where
 /// the socket takes no more for now the error is `would_block`, and the next call goes on from there.
@@ -51,4 +51,4 @@
     return all && !failed;
 }
 
-}  // namespace mothring::node
+}  // namespace mothring::net
--- a/src/node/socket_errors.hpp
+++ b/src/net/socket_errors.hpp
@@ -7,9 +7,9 @@
 #include <boost/system/error_code.hpp>
 #include <cerrno>
 
-#include "node/interrupted_calls.hpp"
+#include "net/interrupted_calls.hpp"
 
-namespace mothring::node {
+namespace mothring::net {
 
 /// Whether a signal came in between: the call has done nothing, and says nothing of what there is to do.
 inline bool is_interrupted(boost::system::error_code error) {
@@ -96,4 +96,4 @@
     return answered >= 0 ? entry.revents : short{0};
 }
 
-}  // namespace mothring::node
+}  // namespace mothring::net
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -7,10 +7,10 @@
 #include <optional>
 #include <utility>
 
-#include "node/clock.hpp"
-#include "node/log.hpp"
-#include "node/message.hpp"
-#include "node/socket_errors.hpp"
+#include "net/clock.hpp"
+#include "net/http_message.hpp"
+#include "net/log.hpp"
+#include "net/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -40,27 +40,29 @@
 // One connection to discovery, and the one call that is out on it.
 class Discovery::Call : public std::enable_shared_from_this<Call> {
 public:
-    Call(asio::io_context& io, const Tcp::endpoint& address) : address_(address), socket_(io), timer_(io) {}
+    Call(asio::io_context& io, const net::Tcp::endpoint& address)
+        : address_(address), socket_(io), timer_(io) {}
 
     using Done = std::function<void(const Answer& answer)>;
     // `late`: called once if there is no answer by then; the call stays out.
     void get(const std::string& target, Millis patience, Done done, std::function<void()> late) {
         done_ = std::move(done);
         since_ = Steady::now();
-        log(spdlog::level::debug, "discovery.call", {{"target", target}, {"connected", socket_.is_open()}});
+        net::log(spdlog::level::debug, "discovery.call",
+                 {{"target", target}, {"connected", socket_.is_open()}});
         request_ = {http::verb::get, target, 11};
         request_.set(http::field::host,
                      address_.address().to_string() + ":" + std::to_string(address_.port()));
-        timer_.expires_after(span(patience));
+        timer_.expires_after(net::span(patience));
         timer_.async_wait([weak = weak_from_this(), late = std::move(late)](error_code cancelled) {
             if (const auto self = weak.lock(); self && !cancelled && self->done_) late();
         });
         if (socket_.is_open()) return write();
         socket_.async_connect(address_, [self = shared_from_this()](error_code failed) {
             if (failed) return self->unconnected(failed);
-            log(spdlog::level::debug, "discovery.connected", {{"after_ms", self->age()}});
+            net::log(spdlog::level::debug, "discovery.connected", {{"after_ms", self->age()}});
             error_code ignored;
-            self->socket_.set_option(Tcp::no_delay(true), ignored);
+            self->socket_.set_option(net::Tcp::no_delay(true), ignored);
             self->write();
         });
     }
@@ -83,11 +85,11 @@
     // what it has to tell counts as told runs on.
     void unconnected(error_code why) {
         end("not connected: " + why.message(),
-            is_local_failure(why) ? ListFailure::broken : ListFailure::unreachable);
+            net::is_local_failure(why) ? ListFailure::broken : ListFailure::unreachable);
     }
     void read() {
         parser_.emplace();
-        async_read_bounded(
+        net::async_read_bounded(
             socket_, buffer_, *parser_, kListLimit, [self = shared_from_this()](error_code failed) {
                 if (failed) return self->end("broken off: " + failed.message());
                 const auto& answer = self->parser_->get();
@@ -99,8 +101,8 @@
     // In seconds, whole or decimal; what can't be read is not there.
     static std::optional<Millis> retry_after(boost::beast::string_view seconds) {
         double value = 0;
-        if (!parse(std::string_view(seconds.data(), seconds.size()), value) || !std::isfinite(value) ||
-            value < 0)
+        if (!net::parse_number(std::string_view(seconds.data(), seconds.size()), value) ||
+            !std::isfinite(value) || value < 0)
             return std::nullopt;
         return value * 1000;
     }
@@ -118,17 +120,17 @@
         if (!why.empty() || !parser_->keep_alive()) drop();
         Answer answer;
         if (why.empty()) answer.body = std::move(parser_->get().body());
-        log(spdlog::level::debug, "discovery.ended",
-            {{"after_ms", age()}, {"why", why}, {"bytes", answer.body ? answer.body->size() : 0}});
+        net::log(spdlog::level::debug, "discovery.ended",
+                 {{"after_ms", age()}, {"why", why}, {"bytes", answer.body ? answer.body->size() : 0}});
         answer.why = std::move(why);
         answer.failure = failure;
         answer.retry_after = retry_after;
         done(answer);
     }
-    Millis age() const { return millis(Steady::now() - since_); }
+    Millis age() const { return net::millis(Steady::now() - since_); }
 
-    Tcp::endpoint address_;
-    Tcp::socket socket_;
+    net::Tcp::endpoint address_;
+    net::Tcp::socket socket_;
     asio::steady_timer timer_;
     http::request<http::empty_body> request_;
     boost::beast::flat_buffer buffer_;
@@ -137,7 +139,7 @@
     Steady::time_point since_;  // of the call that is out
 };
 
-Discovery::Discovery(asio::io_context& io, const Tcp::endpoint& address, std::uint64_t version,
+Discovery::Discovery(asio::io_context& io, const net::Tcp::endpoint& address, std::uint64_t version,
                      bool persistent, Millis drain_grace, Callbacks callbacks)
     : io_(io),
       address_(address),
@@ -171,8 +173,8 @@
 
 Discovery::State Discovery::state() const {
     State state{version_, calls_, {}, {}, told_};
-    if (answered_at_) state.age = millis(Steady::now() - *answered_at_);
-    if (answered_before_) state.age_before = millis(Steady::now() - *answered_before_);
+    if (answered_at_) state.age = net::millis(Steady::now() - *answered_at_);
+    if (answered_before_) state.age_before = net::millis(Steady::now() - *answered_before_);
     return state;
 }
 
@@ -191,7 +193,7 @@
 // nothing. Where that one is late too, it takes the place of the first.
 void Discovery::overdue(const Call& call) {
     if (&call != watch_.get()) return;
-    told_by(call.since() + span(kTold));
+    told_by(call.since() + net::span(kTold));
     drop(late_);
     late_ = std::exchange(watch_, nullptr);
     failed("no answer in time", ListFailure::timed_out);
@@ -199,11 +201,11 @@
 
 void Discovery::told_by(Steady::time_point at) { told_at_ = told_at_ ? std::min(*told_at_, at) : at; }
 
-void Discovery::move(const Tcp::endpoint& address) {
+void Discovery::move(const net::Tcp::endpoint& address) {
     address_ = address;
     backoff_ = kFirstBackoff;
     if (!active_) return;
-    told_by(Steady::now() + span(kToldAfterMove));
+    told_by(Steady::now() + net::span(kToldAfterMove));
     watch(false);
     watch(true);
 }
@@ -213,9 +215,9 @@
     const bool late = &call == late_.get();
     const auto since = call.since();
     std::string why = said;
-    std::optional<MemberList> list;
+    std::optional<config::DiscoveryList> list;
     try {
-        if (body) list = read_members(*body);
+        if (body) list = config::read_members(*body);
     } catch (const std::exception& error) {
         why = error.what();
     }
@@ -226,7 +228,7 @@
         whole_ = !late;
     }
     if (late && !list) {  // the other goes on
-        if (body) log(spdlog::level::warn, "discovery.ignored", {{"why", why}});
+        if (body) net::log(spdlog::level::warn, "discovery.ignored", {{"why", why}});
         return drop(late_);
     } else if (late) {
         drop(watch_);
@@ -240,9 +242,9 @@
     if (!list) {
         // Whoever is refused knows that discovery can't be reached yet: the time begins after that.
         if (failure == ListFailure::unreachable)
-            told_at_ = Steady::now() + span(kTold);
+            told_at_ = Steady::now() + net::span(kTold);
         else
-            told_by(since + span(kTold));
+            told_by(since + net::span(kTold));
         return failed(why, body ? ListFailure::broken : failure, retry_after);
     }
     backoff_ = kFirstBackoff;
@@ -252,14 +254,14 @@
     whole_ = false;
     if (active_) begin();  // before anything else: the next watch is due
     const bool again = std::exchange(told_, false);
-    if (again) log(spdlog::level::info, "discovery.answers", {{"version", version_}});
+    if (again) net::log(spdlog::level::info, "discovery.answers", {{"version", version_}});
     if (list->full || !list->members.empty() || again) callbacks_.changed(*list);
 }
 
 void Discovery::failed(const std::string& why, ListFailure kind, std::optional<Millis> retry_after) {
-    if (!std::exchange(told_, true)) log(spdlog::level::warn, "discovery.failed", {{"why", why}});
-    if (!persistent_) return callbacks_.failed({kind, millis(*told_at_ - Steady::now()), retry_after});
-    timer_.expires_after(span(backoff_));
+    if (!std::exchange(told_, true)) net::log(spdlog::level::warn, "discovery.failed", {{"why", why}});
+    if (!persistent_) return callbacks_.failed({kind, net::millis(*told_at_ - Steady::now()), retry_after});
+    timer_.expires_after(net::span(backoff_));
     backoff_ = std::min(2 * backoff_, longest_backoff_);
     timer_.async_wait([this](error_code cancelled) {
         if (!cancelled && active_) watch(true);
--- a/src/node/discovery.hpp
+++ b/src/node/discovery.hpp
@@ -9,7 +9,7 @@
 #include <optional>
 #include <string>
 
-#include "node/config.hpp"
+#include "config/config.hpp"
 
 namespace mothring::node {
 
@@ -23,20 +23,20 @@
         std::optional<Millis> retry_after;  // what discovery asks for, if anything
     };
     struct Callbacks {
-        std::function<void(const MemberList& changes)>
+        std::function<void(const config::DiscoveryList& changes)>
             changed;  // also without entries: the first answer after a failure
         // Only where the watch does not go on by itself.
         std::function<void(const Failure& failure)> failed;
     };
     // `persistent`: a watch that fails is begun again by itself; else whoever wants it asks for it anew.
     // `drain_grace` (rules.stop-sending-within-ms): for so long sends may go on after a drain was told.
-    Discovery(boost::asio::io_context& io, const Tcp::endpoint& address, std::uint64_t version,
+    Discovery(boost::asio::io_context& io, const net::Tcp::endpoint& address, std::uint64_t version,
               bool persistent, Millis drain_grace, Callbacks callbacks);
     ~Discovery();
 
     void watch(bool active);  // one that is out goes on
     // What is out goes on at the new address.
-    void move(const Tcp::endpoint& address);
+    void move(const net::Tcp::endpoint& address);
 
     // Of the list that is held, for operators.
     struct State {
@@ -65,7 +65,7 @@
     static void drop(std::shared_ptr<Call>& call);
 
     boost::asio::io_context& io_;
-    Tcp::endpoint address_;
+    net::Tcp::endpoint address_;
     std::uint64_t version_;
     bool persistent_;
     Millis longest_backoff_;  // between tries of a persistent watch
--- a/src/node/front.cpp
+++ b/src/node/downstream_listener.cpp
@@ -1,4 +1,4 @@
-#include "node/front.hpp"
+#include "node/downstream_listener.hpp"
 
 #include <linux/filter.h>
 #include <sys/socket.h>
@@ -10,11 +10,11 @@
 #include <utility>
 #include <vector>
 
-#include "node/clock.hpp"
-#include "node/message.hpp"
-#include "node/message_writer.hpp"
-#include "node/socket_errors.hpp"
-#include "settings/site.hpp"
+#include "config/site.hpp"
+#include "net/clock.hpp"
+#include "net/http_message.hpp"
+#include "net/message_writer.hpp"
+#include "net/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -55,13 +55,13 @@
 // Whether any of these has come, without waiting for it.
 template <class Socket>
 bool look(Socket& socket, short events) {
-    return (events_now(socket.native_handle(), events) & events) != 0;
+    return (net::events_now(socket.native_handle(), events) & events) != 0;
 }
 
 std::string text(boost::beast::string_view view) { return {view.data(), view.size()}; }
 
-Front::Answer plain(http::status status) {
-    Front::Answer answer(status, 11);
+DownstreamListener::Response plain(http::status status) {
+    DownstreamListener::Response answer(status, 11);
     answer.body() = text(http::obsolete_reason(status));
     answer.set(http::field::content_type, "text/plain");
     return answer;
@@ -74,19 +74,21 @@
 }
 
 // None: not a request as the protocol words it.
-std::optional<Front::Arrival> read_arrival(const Front::Message& message) {
-    Front::Arrival arrival;
+std::optional<DownstreamListener::IncomingRequest> read_arrival(
+    const DownstreamListener::RequestHead& message) {
+    DownstreamListener::IncomingRequest arrival;
     const std::string timeout = text(message["Request-Timeout-Ms"]), hint = text(message["Work-Hint"]);
     if (message["Request-Id"].empty() || message.count("Request-Id") > 1 ||
-        !parse(timeout, arrival.time_left) || !(arrival.time_left >= 0) || arrival.time_left > 1e7)
+        !net::parse_number(timeout, arrival.time_left) || !(arrival.time_left >= 0) ||
+        arrival.time_left > 1e7)
         return std::nullopt;
-    if (parse(hint, arrival.effort)) arrival.effort /= 1000;  // microseconds
+    if (net::parse_number(hint, arrival.effort)) arrival.effort /= 1000;  // microseconds
     if (!(arrival.effort >= 0 && arrival.effort < 1e7)) arrival.effort = 0;
     arrival.class_name = first_part(message.target());
     const std::string named = text(message["Request-Class"]);
     if (!named.empty() && named != arrival.class_name) return std::nullopt;
     arrival.tenant = text(message["Tenant"]);
-    arrival.repeat = message["Client-Retry"] == "1";
+    arrival.is_retry = message["Client-Retry"] == "1";
     return arrival;
 }
 
@@ -94,17 +96,18 @@
 
 // One connection of the application: idle, sending a request, waiting for its answer, or being answered. What
 // comes is read only as there is room for it, and parsed by Beast.
-class Front::Client : public std::enable_shared_from_this<Client> {
+class DownstreamListener::Client : public std::enable_shared_from_this<Client> {
 public:
-    Client(Front& owner, Tcp::socket socket) : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {
+    Client(DownstreamListener& owner, net::Tcp::socket socket)
+        : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {
         error_code ignored;
-        socket_.set_option(Tcp::no_delay(true), ignored);
+        socket_.set_option(net::Tcp::no_delay(true), ignored);
         socket_.non_blocking(true, ignored);
     }
 
     // What has sent no whole request by then is ended: peers that come to send nothing, or little.
     void begin() {
-        first_by_ = Steady::now() + span(kFirstRequest);
+        first_by_ = Steady::now() + net::span(kFirstRequest);
         since_ = Steady::now();
         close_at(*first_by_);
         wait_readable();
@@ -125,12 +128,13 @@
     static constexpr int kNeeded = 4;
     bool finishing() const { return phase_ == Phase::finishing; }
     int use() const {
-        if (phase_ == Phase::idle) return first_by_ ? 0 : Steady::now() - since_ >= span(kMayClose) ? 1 : 3;
+        if (phase_ == Phase::idle)
+            return first_by_ ? 0 : Steady::now() - since_ >= net::span(kMayClose) ? 1 : 3;
         return phase_ == Phase::head ? 2 : kNeeded;
     }
     Steady::time_point since() const { return since_; }
     // For how long what was or will be read next may have stood here.
-    Millis unread_for() const { return unread_since_ ? millis(Steady::now() - *unread_since_) : 0; }
+    Millis unread_for() const { return unread_since_ ? net::millis(Steady::now() - *unread_since_) : 0; }
 
     // Makes room. One that has been served may not have read all of its last answer, which a reset would take
     // away; one that has not been is ended at once.
@@ -142,9 +146,9 @@
     void finish(Millis longest) {
         phase_ = Phase::finishing;
         error_code ignored;
-        socket_.shutdown(Tcp::socket::shutdown_send, ignored);
-        finish_by_ = Steady::now() + span(longest);
-        close_at(Steady::now() + span(kLinger));
+        socket_.shutdown(net::Tcp::socket::shutdown_send, ignored);
+        finish_by_ = Steady::now() + net::span(longest);
+        close_at(Steady::now() + net::span(kLinger));
         discard();
     }
 
@@ -156,17 +160,17 @@
         if (phase_ != Phase::answering) turn_away();
     }
 
-    void answer(Answer answer) {
+    void answer(Response answer) {
         phase_ = Phase::answering;
         answer.version(11);
         answer.keep_alive(stays());
         answer.prepare_payload();
-        const auto out = std::make_shared<Answer>(std::move(answer));
-        write_out(write_step(*out, Part::whole),
+        const auto out = std::make_shared<Response>(std::move(answer));
+        write_out(net::write_step(*out, net::Part::whole),
                   [this, out](bool whole) { answered(whole, out->keep_alive()); });
     }
 
-    void stream(Head head, std::shared_ptr<Pipe> body) {
+    void stream(ResponseHead head, std::shared_ptr<net::BodyBuffer> body) {
         phase_ = Phase::answering;
         pipe_ = std::move(body);
         // Where the head can't tell the length, the end of the connection has to, and a reset that it broke.
@@ -182,11 +186,12 @@
         // What the kernel holds of it is bounded too, so that a slow reader's progress shows.
         error_code ignored;
         if (until_close_) reset_at_end(true);
-        socket_.set_option(asio::socket_base::send_buffer_size(static_cast<int>(Pipe::kMost)), ignored);
+        socket_.set_option(asio::socket_base::send_buffer_size(static_cast<int>(net::BodyBuffer::kMost)),
+                           ignored);
         const auto out = std::make_shared<http::response<http::empty_body>>(std::move(head));
         writing_ = true;
         progress();
-        write_out(write_step(*out, Part::header), [this, out](bool whole) { wrote(whole, 0); });
+        write_out(net::write_step(*out, net::Part::header), [this, out](bool whole) { wrote(whole, 0); });
         pipe_->on_more = [weak = weak_from_this()] {
             if (const auto self = weak.lock()) self->guarded([&] { self->pump(); });
         };
@@ -206,7 +211,7 @@
 
     void close() {
         if (!owner_) return;
-        Front* const owner = std::exchange(owner_, nullptr);
+        DownstreamListener* const owner = std::exchange(owner_, nullptr);
         error_code ignored;
         socket_.close(ignored);
         timer_.cancel();
@@ -215,7 +220,7 @@
         if (const auto pipe = std::exchange(pipe_, nullptr)) pipe->on_more = nullptr;
         if (held) {
             owner->held_.erase(id_);
-            owner->callbacks_.gone(id_);
+            owner->callbacks_.on_client_disconnected(id_);
         }
         leave(*owner, false);
         owner->closed(shared_from_this());
@@ -230,8 +235,8 @@
     // What reading one byte would give; it stays where it is.
     error_code peek() {
         char byte;
-        return repeated_while_interrupted([&](error_code& error) {
-            socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
+        return net::repeated_while_interrupted([&](error_code& error) {
+            socket_.receive(asio::buffer(&byte, 1), net::Tcp::socket::message_peek, error);
         });
     }
     // Whether a request's body is yet to come.
@@ -241,7 +246,7 @@
     void wait_readable() {
         if (waiting_) return;
         waiting_ = true;
-        socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this()](error_code failed) {
+        socket_.async_wait(net::Tcp::socket::wait_read, [self = shared_from_this()](error_code failed) {
             self->waiting_ = false;
             if (!self->owner_) return;
             if (failed) return self->close();
@@ -254,7 +259,7 @@
         if (phase_ == Phase::idle || phase_ == Phase::head || receiving()) return feed();
         // The next request, early, stays where it is until this one has its answer.
         const error_code error = peek();
-        if (is_to_be_repeated(error))
+        if (net::is_to_be_repeated(error))
             wait_readable();
         else if (!error)
             stands_unread();
@@ -292,11 +297,11 @@
         const std::size_t size = std::min(space, receiving() ? kPiece : kHeadPiece);
         const auto room = buffer_.prepare(size);
         std::size_t count = 0;
-        const error_code error =
-            repeated_while_interrupted([&](error_code& failed) { count = socket_.read_some(room, failed); });
-        if (is_to_be_repeated(error)) {
+        const error_code error = net::repeated_while_interrupted(
+            [&](error_code& failed) { count = socket_.read_some(room, failed); });
+        if (net::is_to_be_repeated(error)) {
             if (phase_ == Phase::idle) buffer_.shrink_to_fit();
-            if (!is_interrupted(error)) unread_since_.reset();  // else there may be bytes still
+            if (!net::is_interrupted(error)) unread_since_.reset();  // else there may be bytes still
             wait_readable();
             return false;
         }
@@ -318,10 +323,10 @@
             phase_ = Phase::head;
             since_ = Steady::now();
             parser_.emplace();
-            parser_->header_limit(kHeaderLimit);
-            parser_->body_limit(kLargestBody);
-            began_ = first_by_ ? *first_by_ - span(kFirstRequest) : Steady::now();
-            close_at(began_ + span(kFirstRequest));
+            parser_->header_limit(net::kHeaderLimit);
+            parser_->body_limit(net::kLargestBody);
+            began_ = first_by_ ? *first_by_ - net::span(kFirstRequest) : Steady::now();
+            close_at(began_ + net::span(kFirstRequest));
         }
         error_code error;
         std::size_t room = 0;
@@ -371,9 +376,9 @@
             codings == 0 || (codings == 1 && head.count(http::field::content_length) == 0 && version_ == 11 &&
                              boost::beast::iequals(head[http::field::transfer_encoding], "chunked"));
         if (!framed || version_ > 11) return reject(http::status::bad_request), false;
-        if (length && *length > kLargestBody) return reject(http::status::payload_too_large), false;
-        auto message = std::make_shared<Message>();
-        static_cast<Message::header_type&>(*message) = head.base();
+        if (length && *length > net::kLargestBody) return reject(http::status::payload_too_large), false;
+        auto message = std::make_shared<RequestHead>();
+        static_cast<RequestHead::header_type&>(*message) = head.base();
         if (head.target().starts_with("http://")) {  // the absolute form
             const auto path = head.target().find('/', 7);
             message->target(path == boost::beast::string_view::npos ? "/" : head.target().substr(path));
@@ -389,8 +394,8 @@
         if (!read_arrival(*message_)) return reject(http::status::bad_request), false;
         if (parser_->is_done()) return arrive(), false;
         phase_ = Phase::body;
-        body_ = std::make_shared<Pipe>(owner_->budget_,
-                                       length ? std::optional<std::uint64_t>(*length) : std::nullopt);
+        body_ = std::make_shared<net::BodyBuffer>(
+            owner_->budget_, length ? std::optional<std::uint64_t>(*length) : std::nullopt);
         body_->on_room = [weak = weak_from_this()] {
             const auto self = weak.lock();
             if (!self || !self->receiving()) return;
@@ -405,7 +410,7 @@
         received_ = buffer_.size();
         body_timer();
         if (buffer_.size() > 0 || !expects_continue()) return true;
-        write_out(write_step(asio::const_buffer(kContinue.data(), kContinue.size())),
+        write_out(net::write_step(asio::const_buffer(kContinue.data(), kContinue.size())),
                   [this](bool whole) { whole ? feed() : close(); });
         return false;
     }
@@ -419,7 +424,7 @@
         if (!owner_) return;
         if (phase_ == Phase::body) return arrive();
         if (phase_ != Phase::waiting) return;
-        owner_->callbacks_.whole(id_);
+        owner_->callbacks_.on_body_complete(id_);
         if (!owner_ || phase_ != Phase::waiting) return;
         next_unread();
         if (buffer_.size() == 0) wait_readable();
@@ -440,7 +445,7 @@
         phase_ = Phase::waiting;
         owner_->held_[id_] = shared_from_this();
         if (!receiving() && buffer_.size() == 0) wait_readable();
-        owner_->callbacks_.arrived(std::move(*arrival));
+        owner_->callbacks_.on_request(std::move(*arrival));
     }
 
     // The time of a request counts from its last byte. When that came is not known of what stood unread, in
@@ -486,16 +491,16 @@
     // A small request may take its time whatever its pieces; a larger body has to come on after that, without
     // a long pause and at half the slowest writer's pace on the whole.
     void body_timer() {
-        const auto small = body_began_ + span(kFirstRequest);
-        const auto paced = small + span(static_cast<double>(received_) / kSlowestPace);
-        close_at(std::max(small, std::min(Steady::now() + span(kPause), paced)));
+        const auto small = body_began_ + net::span(kFirstRequest);
+        const auto paced = small + net::span(static_cast<double>(received_) / kSlowestPace);
+        close_at(std::max(small, std::min(Steady::now() + net::span(kPause), paced)));
     }
 
     void reject(http::status status) {
         if (phase_ == Phase::answering) return;  // it has its answer, and its end with it
         if (id_ != 0) {
             owner_->held_.erase(id_);
-            owner_->callbacks_.gone(id_);
+            owner_->callbacks_.on_client_disconnected(id_);
             leave(*owner_, false);
         }
         keep_ = false;
@@ -503,8 +508,8 @@
     }
 
     // The request that it has here, if any, is at its end.
-    void leave(Front& owner, bool whole) {
-        if (id_ != 0) owner.callbacks_.left(std::exchange(id_, 0), whole);
+    void leave(DownstreamListener& owner, bool whole) {
+        if (id_ != 0) owner.callbacks_.on_response_ended(std::exchange(id_, 0), whole);
     }
 
     void answered(bool whole, bool stays) {
@@ -540,16 +545,16 @@
 
     // Then, in a turn of its own, goes on with whether all of it was written. What waits for that turn is
     // moved and never copied: a copy may fail for want of memory where nobody sees it.
-    void write_out(WriteStep step, std::function<void(bool)> then) {
+    void write_out(net::WriteStep step, std::function<void(bool)> then) {
         error_code failed;
-        const bool whole = write_what_is_taken(step, socket_, failed);
-        if (whole || !is_to_be_repeated(failed))
+        const bool whole = net::write_what_is_taken(step, socket_, failed);
+        if (whole || !net::is_to_be_repeated(failed))
             return asio::post(socket_.get_executor(),
                               if_open([then = std::move(then), whole] { then(whole); }));
         auto go_on = if_open([this, step = std::move(step), then = std::move(then)]() mutable {
             write_out(std::move(step), std::move(then));
         });
-        socket_.async_wait(Tcp::socket::wait_write,
+        socket_.async_wait(net::Tcp::socket::wait_write,
                            [go_on = std::move(go_on)](error_code) mutable { go_on(); });
     }
 
@@ -564,15 +569,15 @@
             const auto then = [this, count = bytes.size()](bool whole) { wrote(whole, count); };
             const asio::const_buffer out(bytes.data(), bytes.size());
             if (pipe_->length || until_close_)
-                write_out(write_step(out), then);
+                write_out(net::write_step(out), then);
             else
-                write_out(write_step(http::make_chunk(out)), then);
+                write_out(net::write_step(http::make_chunk(out)), then);
         } else if (pipe_->broken()) {
             // The client sees that it is not whole: short of its length, or without its last chunk, or reset.
             close();
         } else if (pipe_->whole() && !pipe_->length && !until_close_ && !std::exchange(ending_, true)) {
             writing_ = true;
-            write_out(write_step(http::make_chunk_last()), [this](bool whole) { wrote(whole, 0); });
+            write_out(net::write_step(http::make_chunk_last()), [this](bool whole) { wrote(whole, 0); });
         } else if (pipe_->whole()) {
             ending_ = false;
             if (until_close_) reset_at_end(false);
@@ -589,7 +594,7 @@
         pump();
     }
     // A reader may be slow, but not still.
-    void progress() { close_at(Steady::now() + span(kStillReader)); }
+    void progress() { close_at(Steady::now() + net::span(kStillReader)); }
     // Where its end is the answer's, that of the process in its midst must not be taken for it either.
     void reset_at_end(bool reset) {
         error_code ignored;
@@ -598,13 +603,13 @@
 
     void discard() {
         buffer_.consume(buffer_.size());
-        socket_.async_read_some(buffer_.prepare(kHeadPiece),
-                                [self = shared_from_this()](error_code failed, std::size_t) {
-                                    if (failed) return self->close();
-                                    if (!self->owner_) return;
-                                    self->close_at(std::min(self->finish_by_, Steady::now() + span(kLinger)));
-                                    self->discard();
-                                });
+        socket_.async_read_some(
+            buffer_.prepare(kHeadPiece), [self = shared_from_this()](error_code failed, std::size_t) {
+                if (failed) return self->close();
+                if (!self->owner_) return;
+                self->close_at(std::min(self->finish_by_, Steady::now() + net::span(kLinger)));
+                self->discard();
+            });
     }
 
     void no_limit() {
@@ -631,13 +636,13 @@
     // Whether a request is yet to come, or its rest.
     bool still_comes() const { return phase_ < Phase::waiting || (phase_ == Phase::waiting && receiving()); }
 
-    Front* owner_;  // none: closed
-    Tcp::socket socket_;
+    DownstreamListener* owner_;  // none: closed
+    net::Tcp::socket socket_;
     asio::steady_timer timer_;
-    boost::beast::flat_buffer buffer_{kHeaderLimit + kHeadPiece};
+    boost::beast::flat_buffer buffer_{net::kHeaderLimit + kHeadPiece};
     std::optional<http::request_parser<http::buffer_body>> parser_;
-    std::shared_ptr<const Message> message_;
-    std::shared_ptr<Pipe> body_, pipe_;  // of the request, and of its answer
+    std::shared_ptr<const RequestHead> message_;
+    std::shared_ptr<net::BodyBuffer> body_, pipe_;  // of the request, and of its answer
     Phase phase_ = Phase::idle;
     RequestId id_ = 0;
     unsigned version_ = 11;
@@ -651,8 +656,9 @@
          until_close_ = false, called_ = false;
 };
 
-Front::Front(asio::io_context& io, const Tcp::endpoint& listen, std::size_t clients, bool shared,
-             std::shared_ptr<Budget> budget, Callbacks callbacks)
+DownstreamListener::DownstreamListener(asio::io_context& io, const net::Tcp::endpoint& listen,
+                                       std::size_t clients, bool shared,
+                                       std::shared_ptr<net::BufferBudget> budget, Callbacks callbacks)
     : io_(io),
       acceptor_(io, listen.protocol()),
       most_clients_(clients),
@@ -671,19 +677,19 @@
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     acceptor_.listen(asio::socket_base::max_listen_connections);
     if (shared) steer(acceptor_.native_handle());
-    accept();
+    resume_accepting();
 }
 
-Front::~Front() {
-    callbacks_.gone = [](RequestId) {};
-    callbacks_.left = [](RequestId, bool) {};
-    callbacks_.drained = nullptr;
+DownstreamListener::~DownstreamListener() {
+    callbacks_.on_client_disconnected = [](RequestId) {};
+    callbacks_.on_response_ended = [](RequestId, bool) {};
+    callbacks_.on_drained = nullptr;
     for (const ClientPtr& client : std::exchange(clients_, {})) client->close();
 }
 
-void Front::accept() {
+void DownstreamListener::resume_accepting() {
     if (accepting_ || !acceptor_.is_open() || !make_room()) return;
-    acceptor_.async_wait(Tcp::acceptor::wait_read, [this](error_code failed) {
+    acceptor_.async_wait(net::Tcp::acceptor::wait_read, [this](error_code failed) {
         if (failed == asio::error::operation_aborted) return;
         accepting_ = false;
         accept_waiting();
@@ -692,18 +698,18 @@
 }
 
 // Asio's own accept would lose its handler, and all connections after it, where there is no memory for one.
-void Front::accept_waiting() {
+void DownstreamListener::accept_waiting() {
     for (int turns = 0; turns < kTurns && acceptor_.is_open() && make_room(); ++turns) {
         const error_code failed = accept_one();
-        if (is_to_be_repeated(failed)) break;
+        if (net::is_to_be_repeated(failed)) break;
         if (failed && accept_pace_.pauses_after(failed)) return accept_after_pause();
     }
-    accept();
+    resume_accepting();
 }
 
 // Without waiting: `would_block` where there is none.
-error_code Front::accept_one() {
-    Tcp::socket socket(io_);
+error_code DownstreamListener::accept_one() {
+    net::Tcp::socket socket(io_);
     error_code failed;
     acceptor_.accept(socket, failed);
     if (failed) return failed;
@@ -712,20 +718,20 @@
     return {};
 }
 
-void Front::accept_after_pause() {
-    timer_.expires_after(span(kAcceptPause));
+void DownstreamListener::accept_after_pause() {
+    timer_.expires_after(net::span(kAcceptPause));
     timer_.async_wait([this](error_code cancelled) {
-        if (!cancelled) accept();
+        if (!cancelled) resume_accepting();
     });
 }
 
-void Front::accepted(Tcp::socket socket) {
+void DownstreamListener::accepted(net::Tcp::socket socket) {
     const auto client = std::make_shared<Client>(*this, std::move(socket));
     clients_.insert(client);
     client->guarded([&] { client->begin(); });
 }
 
-void Front::limit_clients(std::size_t clients) {
+void DownstreamListener::limit_connections(std::size_t clients) {
     most_clients_ = clients;
     while (clients_.size() > most_clients_) {
         const std::size_t before = clients_.size();
@@ -738,7 +744,7 @@
 // in order takes until the client's own, or a while: a part of the bound is for those on their way out. Where
 // a newcomer waits already it is not waited for: the client is closed at once. Where nobody may make room,
 // accepting waits.
-bool Front::make_room() {
+bool DownstreamListener::make_room() {
     const std::size_t most = most_clients_ - most_clients_ / kSparePart;
     if (clients_.size() < most) return true;
     std::vector<std::pair<std::pair<int, Steady::time_point>, ClientPtr>> order;
@@ -762,30 +768,30 @@
     return clients_.size() < most_clients_;
 }
 
-void Front::rested() {
-    if (clients_.size() >= most_clients_) asio::post(io_, [this] { accept(); });
+void DownstreamListener::rested() {
+    if (clients_.size() >= most_clients_) asio::post(io_, [this] { resume_accepting(); });
 }
 
-void Front::closed(const ClientPtr& client) {
+void DownstreamListener::closed(const ClientPtr& client) {
     if (clients_.erase(client) == 0) return;
-    asio::post(io_, [this] { accept(); });
-    if (draining_ && !acceptor_.is_open() && clients_.empty() && callbacks_.drained)
-        asio::post(io_, callbacks_.drained);
+    asio::post(io_, [this] { resume_accepting(); });
+    if (draining_ && !acceptor_.is_open() && clients_.empty() && callbacks_.on_drained)
+        asio::post(io_, callbacks_.on_drained);
 }
 
-bool Front::left(RequestId request) {
+bool DownstreamListener::has_client_left(RequestId request) {
     const auto at = held_.find(request);
     if (at == held_.end() || !at->second->left()) return false;
     asio::post(io_, [client = at->second] { client->close(); });
     return true;
 }
 
-Millis Front::unread_for(RequestId request) const {
+Millis DownstreamListener::unread_time(RequestId request) const {
     const auto at = held_.find(request);
     return at == held_.end() ? 0 : at->second->unread_for();
 }
 
-void Front::answer(RequestId request, Answer answer) {
+void DownstreamListener::respond(RequestId request, Response answer) {
     const auto at = held_.find(request);
     if (at == held_.end()) return;
     const ClientPtr client = at->second;
@@ -793,7 +799,8 @@
     client->guarded([&] { client->answer(std::move(answer)); });
 }
 
-void Front::stream(RequestId request, Head head, std::shared_ptr<Pipe> body) {
+void DownstreamListener::stream_response(RequestId request, ResponseHead head,
+                                         std::shared_ptr<net::BodyBuffer> body) {
     const auto at = held_.find(request);
     if (at == held_.end()) return;
     const ClientPtr client = at->second;
@@ -801,15 +808,15 @@
     client->guarded([&] { client->stream(std::move(head), std::move(body)); });
 }
 
-void Front::drain(Millis accepting) {
+void DownstreamListener::drain(Millis accepting) {
     draining_ = true;
-    drain_timer_.expires_after(span(accepting));
+    drain_timer_.expires_after(net::span(accepting));
     drain_timer_.async_wait([this](error_code cancelled) {
         if (!cancelled) stop_accepting();
     });
 }
 
-void Front::last_call() {
+void DownstreamListener::end_waiting_connections() {
     if (acceptor_.is_open()) stop_accepting();
     for (const ClientPtr& client : std::vector<ClientPtr>(clients_.begin(), clients_.end()))
         client->last_call();
@@ -817,7 +824,7 @@
 
 // What the machine has accepted by now is taken, however long it takes to have a descriptor for it; what is
 // idle after that is ended.
-void Front::stop_accepting() {
+void DownstreamListener::stop_accepting() {
     for (error_code failed; failed != asio::error::would_block;) {
         failed = accept_one();
         if (failed && failed != asio::error::would_block && accept_pace_.pauses_after(failed))
@@ -828,7 +835,7 @@
     timer_.cancel();
     for (const ClientPtr& client : std::vector<ClientPtr>(clients_.begin(), clients_.end()))
         if (client->idle()) client->finish(kLongestLinger);
-    if (clients_.empty() && callbacks_.drained) asio::post(io_, callbacks_.drained);
+    if (clients_.empty() && callbacks_.on_drained) asio::post(io_, callbacks_.on_drained);
 }
 
 }  // namespace mothring::node
--- a/src/node/hot_restart_lock.cpp
+++ b/src/node/hot_restart_lock.cpp
@@ -8,7 +8,7 @@
 #include <system_error>
 #include <utility>
 
-#include "node/interrupted_calls.hpp"
+#include "net/interrupted_calls.hpp"
 
 namespace mothring::node {
 
@@ -97,7 +97,7 @@
 
 bool HotRestartLock::holds_file_at_path() {
     struct stat status {};
-    if (uninterrupted(kMostInterruptions, [&] { return calls_.status(path_.c_str(), status); }) != 0)
+    if (net::uninterrupted(kMostInterruptions, [&] { return calls_.status(path_.c_str(), status); }) != 0)
         return failed(errno);
     return held_.is(status) || failed(ESTALE);
 }
@@ -106,7 +106,7 @@
 bool HotRestartLock::take() {
     const int flags = O_RDWR | O_CREAT | O_CLOEXEC | O_NOCTTY;
     const int file =
-        uninterrupted(kMostInterruptions, [&] { return calls_.open(path_.c_str(), flags, kOwnerOnly); });
+        net::uninterrupted(kMostInterruptions, [&] { return calls_.open(path_.c_str(), flags, kOwnerOnly); });
     if (file < 0) return failed(errno);
     struct stat status {};
     if (calls_.status(file, status) != 0) {
@@ -137,7 +137,8 @@
 bool HotRestartLock::lock_a_byte(int file) {
     for (off_t byte = 0; byte < kMostProcesses; ++byte) {
         struct flock range = range_of(byte, 1);
-        if (uninterrupted(kMostInterruptions, [&] { return calls_.lock(file, F_OFD_SETLK, range); }) == 0)
+        if (net::uninterrupted(kMostInterruptions, [&] { return calls_.lock(file, F_OFD_SETLK, range); }) ==
+            0)
             return true;
         if (errno != EAGAIN && errno != EACCES) break;  // not another process's byte: a fault
     }
@@ -147,7 +148,7 @@
 OtherProcess HotRestartLock::others_in(int file) {
     if (file < 0) return OtherProcess::unknown;
     struct flock range = range_of(0, kMostProcesses);
-    if (uninterrupted(kMostInterruptions, [&] { return calls_.lock(file, F_OFD_GETLK, range); }) != 0) {
+    if (net::uninterrupted(kMostInterruptions, [&] { return calls_.lock(file, F_OFD_GETLK, range); }) != 0) {
         failed(errno);
         return OtherProcess::unknown;
     }
--- a/src/node/operator.cpp
+++ b/src/node/operator.cpp
@@ -5,9 +5,9 @@
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
 
-#include "node/clock.hpp"
-#include "node/message.hpp"
-#include "node/socket_errors.hpp"
+#include "net/clock.hpp"
+#include "net/http_message.hpp"
+#include "net/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -26,7 +26,7 @@
 
 class OperatorListener::Call : public std::enable_shared_from_this<Call> {
 public:
-    Call(OperatorListener& owner, Tcp::socket socket)
+    Call(OperatorListener& owner, net::Tcp::socket socket)
         : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {
         parser_.header_limit(kHeadLimit);
     }
@@ -53,7 +53,7 @@
     void heard(error_code failed) {
         whole_ = true;
         if (!failed) return answer(http::status::ok);
-        if (!malformed(failed)) return close();
+        if (!net::malformed(failed)) return close();
         const bool large = failed == http::error::header_limit || failed == http::error::buffer_overflow;
         answer(large ? http::status::request_header_fields_too_large : http::status::bad_request);
     }
@@ -70,7 +70,7 @@
             if (!self->owner_) return;
             if (error) return self->close();
             // Closing over unread bytes could take the answer with it.
-            self->socket_.shutdown(Tcp::socket::shutdown_send, error);
+            self->socket_.shutdown(net::Tcp::socket::shutdown_send, error);
             self->close_after(kLingerTime);
             self->discard();
         });
@@ -97,14 +97,14 @@
     }
 
     void close_after(Millis length) {
-        timer_.expires_after(span(length));
+        timer_.expires_after(net::span(length));
         timer_.async_wait([weak = weak_from_this()](error_code cancelled) {
             if (const auto self = weak.lock(); self && !cancelled) self->close();
         });
     }
 
     OperatorListener* owner_;  // none: closed
-    Tcp::socket socket_;
+    net::Tcp::socket socket_;
     asio::steady_timer timer_;
     boost::beast::flat_buffer buffer_{2 * kHeadLimit};
     http::request_parser<http::empty_body> parser_;
@@ -113,7 +113,8 @@
     bool whole_ = false;
 };
 
-OperatorListener::OperatorListener(asio::io_context& io, const Tcp::endpoint& listen, Callbacks callbacks)
+OperatorListener::OperatorListener(asio::io_context& io, const net::Tcp::endpoint& listen,
+                                   Callbacks callbacks)
     : io_(io), acceptor_(io, listen, true), callbacks_(std::move(callbacks)), timer_(io) {
     // Else Asio waits for the next connection where one has been aborted.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
@@ -127,7 +128,7 @@
 }
 
 void OperatorListener::accept() {
-    acceptor_.async_wait(Tcp::acceptor::wait_read, [this](error_code failed) {
+    acceptor_.async_wait(net::Tcp::acceptor::wait_read, [this](error_code failed) {
         if (failed != asio::error::operation_aborted) accept_waiting();
     });
 }
@@ -135,12 +136,12 @@
 // The next one is accepted whatever this one leads to.
 void OperatorListener::accept_waiting() {
     try {
-        Tcp::socket socket(io_);
+        net::Tcp::socket socket(io_);
         error_code failed;
         acceptor_.accept(socket, failed);
         if (!failed)
             accepted(std::move(socket));
-        else if (!is_to_be_repeated(failed) && accept_pace_.pauses_after(failed))
+        else if (!net::is_to_be_repeated(failed) && accept_pace_.pauses_after(failed))
             return accept_after_pause();
         accept();
     } catch (...) {  // no memory, say
@@ -149,7 +150,7 @@
     }
 }
 
-void OperatorListener::accepted(Tcp::socket socket) {
+void OperatorListener::accepted(net::Tcp::socket socket) {
     accept_pace_.succeeded();
     make_room();
     calls_.push_back(std::make_shared<Call>(*this, std::move(socket)));
@@ -157,7 +158,7 @@
 }
 
 void OperatorListener::accept_after_pause() {
-    timer_.expires_after(span(kAcceptAgain));
+    timer_.expires_after(net::span(kAcceptAgain));
     timer_.async_wait([this](error_code cancelled) {
         if (!cancelled) accept();
     });
--- a/src/node/operator.hpp
+++ b/src/node/operator.hpp
@@ -9,8 +9,8 @@
 #include <memory>
 #include <string>
 
-#include "node/config.hpp"
-#include "node/socket_errors.hpp"
+#include "config/config.hpp"
+#include "net/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -25,10 +25,10 @@
     };
 
     // Listens at once; throws boost::system::system_error where it can't.
-    OperatorListener(boost::asio::io_context& io, const Tcp::endpoint& listen, Callbacks callbacks);
+    OperatorListener(boost::asio::io_context& io, const net::Tcp::endpoint& listen, Callbacks callbacks);
     ~OperatorListener();
 
-    Tcp::endpoint address() const { return acceptor_.local_endpoint(); }
+    net::Tcp::endpoint address() const { return acceptor_.local_endpoint(); }
     std::size_t callers() const { return calls_.size(); }
 
 private:
@@ -37,15 +37,15 @@
 
     void accept();
     void accept_waiting();
-    void accepted(Tcp::socket socket);
+    void accepted(net::Tcp::socket socket);
     void accept_after_pause();
     void make_room();
 
     boost::asio::io_context& io_;
-    Tcp::acceptor acceptor_;
+    net::Tcp::acceptor acceptor_;
     Callbacks callbacks_;
     boost::asio::steady_timer timer_;  // of the next try to accept
-    FailurePace accept_pace_;
+    net::FailurePace accept_pace_;
     std::list<CallPtr> calls_;  // the longest here first
 };
 
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
 
-#include "node/clock.hpp"
-#include "node/log.hpp"
+#include "net/clock.hpp"
+#include "net/log.hpp"
 
 namespace mothring::node {
 
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-Peers::Peers(boost::asio::io_context& io, const Udp::endpoint& listen, std::vector<Udp::endpoint> peers,
-             std::optional<Udp::endpoint> all, Received received)
+Peers::Peers(boost::asio::io_context& io, const net::Udp::endpoint& listen,
+             std::vector<net::Udp::endpoint> peers, std::optional<net::Udp::endpoint> all, Received received)
     : socket_(io, listen),
       again_(io),
       peers_(std::move(peers)),
@@ -29,7 +29,7 @@
 
 void Peers::tell(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes) {
     if (bytes.size() > kLongest || (to ? *to >= peers_.size() : !all_))
-        return log(spdlog::level::warn, "peer.not_sent", {{"bytes", bytes.size()}});
+        return net::log(spdlog::level::warn, "peer.not_sent", {{"bytes", bytes.size()}});
     error_code lost;  // as any datagram may be
     socket_.send_to(boost::asio::buffer(bytes), to ? peers_[*to] : *all_, 0, lost);
 }
@@ -68,7 +68,7 @@
 }
 
 void Peers::receive_after_pause() {
-    again_.expires_after(span(kReceiveAgain));
+    again_.expires_after(net::span(kReceiveAgain));
     again_.async_wait([this](error_code cancelled) {
         if (!cancelled) receive();
     });
--- a/src/node/peers.hpp
+++ b/src/node/peers.hpp
@@ -9,9 +9,9 @@
 #include <optional>
 #include <vector>
 
-#include "node/config.hpp"
-#include "node/log.hpp"
-#include "node/socket_errors.hpp"
+#include "config/config.hpp"
+#include "net/log.hpp"
+#include "net/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -21,12 +21,12 @@
     using Received = std::function<void(std::uint32_t from, std::vector<std::uint8_t> bytes)>;
 
     // Throws boost::system::system_error where it can't listen.
-    Peers(boost::asio::io_context& io, const Udp::endpoint& listen, std::vector<Udp::endpoint> peers,
-          std::optional<Udp::endpoint> all, Received received);
+    Peers(boost::asio::io_context& io, const net::Udp::endpoint& listen,
+          std::vector<net::Udp::endpoint> peers, std::optional<net::Udp::endpoint> all, Received received);
 
     // To one of them, or to all. What is too long, or is for nobody, is not sent.
     void tell(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes);
-    Udp::endpoint address() const { return socket_.local_endpoint(); }
+    net::Udp::endpoint address() const { return socket_.local_endpoint(); }
 
 private:
     void receive();
@@ -35,14 +35,14 @@
     void receive_after(boost::system::error_code failed);
     void receive_after_pause();
 
-    Udp::socket socket_;
+    net::Udp::socket socket_;
     boost::asio::steady_timer again_;  // after a pause
-    FailurePace pace_;
-    std::vector<Udp::endpoint> peers_;
-    std::optional<Udp::endpoint> all_;
+    net::FailurePace pace_;
+    std::vector<net::Udp::endpoint> peers_;
+    std::optional<net::Udp::endpoint> all_;
     Received received_;
-    Udp::endpoint sender_;
-    LogLimit stray_{std::chrono::seconds(1)};          // a flood of strays writes a line a second
+    net::Udp::endpoint sender_;
+    net::LogLimit stray_{std::chrono::seconds(1)};     // a flood of strays writes a line a second
     std::array<std::uint8_t, kLongest + 1> buffer_{};  // one more than a message may have
 };
 
--- a/src/node/server_start_times.cpp
+++ b/src/node/server_start_times.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <cmath>
 
+#include "config/config.hpp"
+
 namespace mothring::node {
 
 namespace {
@@ -31,7 +33,7 @@
 
 ServerStartTimes::Start ServerStartTimes::start_of(const std::string& server, Millis reported,
                                                    const Moment& moment) {
-    if (!std::isfinite(reported)) reported = kUnreadableStart;
+    if (!std::isfinite(reported)) reported = config::kUnreadableStart;
     const auto known = records_.find(server);
     const bool fresh = known == records_.end();
     if (fresh && reported == 0) return {};
--- a/src/node/server_start_times.hpp
+++ b/src/node/server_start_times.hpp
@@ -14,9 +14,6 @@
 
 namespace mothring::node {
 
-// In the place of a reported start that is no number.
-constexpr Millis kUnreadableStart = -1;
-
 class ServerStartTimes {
 public:
     // What is known of the time at which a list has come (ms).
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -11,9 +11,9 @@
 #include <cstdio>
 #include <utility>
 
-#include "node/log.hpp"
-#include "node/message.hpp"
-#include "node/socket_errors.hpp"
+#include "net/http_message.hpp"
+#include "net/log.hpp"
+#include "net/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -48,7 +48,7 @@
 constexpr Millis kOverdue = 100;
 
 // Whether the method and the key are those that the protocol gives to a class.
-bool in_form(const RequestClass& kind, const Front::Message& message, bool has_body) {
+bool in_form(const RequestClass& kind, const DownstreamListener::RequestHead& message, bool has_body) {
     const bool keyed = !message["Idempotency-Key"].empty();
     if (kind.idempotency == Idempotency::always) return message.method() == http::verb::get && !has_body;
     return message.method() == http::verb::post && keyed == (kind.idempotency == Idempotency::with_key);
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-Sidecar::Sidecar(asio::io_context& io, Config config)
+Sidecar::Sidecar(asio::io_context& io, config::Config config)
     : io_(io),
       config_(std::move(config)),
       clock_(config_.clock_skew, config_.read_wall_clock),
@@ -89,8 +89,8 @@
                                OperatorListener::Callbacks{[this] { return ready(); },
                                                            [this] { return render(metrics()); }});
         } catch (const boost::system::system_error& error) {
-            if (is_shortage(error.code())) throw;
-            throw ConfigError("'operator' can't be listened on: " + error.code().message());
+            if (net::is_shortage(error.code())) throw;
+            throw config::ConfigError("'operator' can't be listened on: " + error.code().message());
         }
         // An address of the system's choice is nobody else's.
         if (config_.listen.port() != 0) {
@@ -104,7 +104,7 @@
     discovery_.emplace(
         io, config_.discovery, config_.known.version, !asked, config_.drain_grace,
         Discovery::Callbacks{
-            [this](const MemberList& changes) {
+            [this](const config::DiscoveryList& changes) {
                 list(changes.full ? ListKind::full : ListKind::incremental, changes);
             },
             [this](const Discovery::Failure& failure) {
@@ -126,24 +126,25 @@
 }
 
 void Sidecar::open_front() {
-    front_.emplace(io_, config_.listen, half(sockets()), config_.operators.has_value(), budget_,
-                   Front::Callbacks{[this](Front::Arrival arrival) { arrived(std::move(arrival)); },
-                                    [this](RequestId id) { whole(id); }, [this](RequestId id) { gone(id); },
-                                    [this](RequestId id, bool whole) {
-                                        const auto flight = flights_.find(id);
-                                        if (flight == flights_.end()) return;
-                                        metrics_.ended(flight->second.class_index,
-                                                       whole ? flight->second.ending : Ending::failed);
-                                        flights_.erase(flight);
-                                    },
-                                    [this] {
-                                        if (drained_) std::exchange(drained_, nullptr)();
-                                    }});
-    LogFields addresses{{"listen", written(front_->address())}, {"pid", ::getpid()}};
-    if (operators_) addresses["operator"] = written(operators_->address());
-    if (peers_) addresses["peers"] = written(peers_->address());
-    if (cluster_) addresses["cluster"] = written(cluster_->address());
-    log(spdlog::level::info, "sidecar.listening", std::move(addresses));
+    listener_.emplace(
+        io_, config_.listen, half(sockets()), config_.operators.has_value(), budget_,
+        DownstreamListener::Callbacks{
+            [this](DownstreamListener::IncomingRequest arrival) { arrived(std::move(arrival)); },
+            [this](RequestId id) { whole(id); }, [this](RequestId id) { gone(id); },
+            [this](RequestId id, bool whole) {
+                const auto flight = flights_.find(id);
+                if (flight == flights_.end()) return;
+                metrics_.ended(flight->second.class_index, whole ? flight->second.ending : Ending::failed);
+                flights_.erase(flight);
+            },
+            [this] {
+                if (drained_) std::exchange(drained_, nullptr)();
+            }});
+    net::LogFields addresses{{"listen", net::written(listener_->address())}, {"pid", ::getpid()}};
+    if (operators_) addresses["operator"] = net::written(operators_->address());
+    if (peers_) addresses["peers"] = net::written(peers_->address());
+    if (cluster_) addresses["cluster"] = net::written(cluster_->address());
+    net::log(spdlog::level::info, "sidecar.listening", std::move(addresses));
 }
 
 // Beside another process this one begins to listen long after its start: what fails then, for want of a
@@ -152,27 +153,28 @@
     try {
         open_front();
     } catch (const boost::system::system_error& error) {
-        log(spdlog::level::warn, "sidecar.not_listening", {{"error", error.code().message()}});
-        listen_timer_.expires_after(span(kListenAgain));
+        net::log(spdlog::level::warn, "sidecar.not_listening", {{"error", error.code().message()}});
+        listen_timer_.expires_after(net::span(kListenAgain));
         listen_timer_.async_wait(unless_over([this] {
-            if (!front_ && !drained_) open_front_when_possible();
+            if (!listener_ && !drained_) open_front_when_possible();
         }));
     }
 }
 
 void Sidecar::open_cluster() {
     if (!config_.may_tell)
-        return log(spdlog::level::warn, "cluster.off", {{"why", "limits.may-tell forbids peer messages"}});
+        return net::log(spdlog::level::warn, "cluster.off",
+                        {{"why", "limits.may-tell forbids peer messages"}});
     cluster::Agent::Callbacks callbacks;
     callbacks.changed = [this](const cluster::View& view) {
-        log(spdlog::level::info, "cluster.view",
-            {{"present", view.present()}, {"expected", view.expected}, {"quorum", view.quorum()}});
+        net::log(spdlog::level::info, "cluster.view",
+                 {{"present", view.present()}, {"expected", view.expected}, {"quorum", view.quorum()}});
         give(MemberView{static_cast<std::uint32_t>(view.present()), view.quorum()});
     };
     callbacks.learnt = [](const cluster::Effects::Change& change) {
-        LogFields fields{{"member", change.name}, {"incarnation", change.incarnation}};
+        net::LogFields fields{{"member", change.name}, {"incarnation", change.incarnation}};
         if (!change.by.empty()) fields["by"] = change.by;
-        log(spdlog::level::info, "member." + change.what, std::move(fields));
+        net::log(spdlog::level::info, "member." + change.what, std::move(fields));
     };
     callbacks.rejected = [this](cluster::Rejection why, const std::string& from) {
         rejected_.log(spdlog::level::warn, "cluster.rejected",
@@ -181,8 +183,8 @@
     try {
         cluster_.emplace(io_, *config_.cluster, config_.name, MOTHRING_VERSION, std::move(callbacks));
     } catch (const boost::system::system_error& error) {
-        if (is_shortage(error.code())) throw;
-        throw ConfigError("'cluster.bind' can't be listened on: " + error.code().message());
+        if (net::is_shortage(error.code())) throw;
+        throw config::ConfigError("'cluster.bind' can't be listened on: " + error.code().message());
     }
 }
 
@@ -202,29 +204,30 @@
             halved_ = halved;
             budget_->limit = buffers();
             upstream_.limit_connections(half(sockets()));
-            if (front_) front_->limit_clients(half(sockets()));
+            if (listener_) listener_->limit_connections(half(sockets()));
             give(ProcessOverlap{halved_});
         }
     }
-    hot_restart_timer_.expires_after(span(kOtherProcessLook));
+    hot_restart_timer_.expires_after(net::span(kOtherProcessLook));
     hot_restart_timer_.async_wait(unless_over([this] { watch_other_process(); }));
 }
 
 void Sidecar::log_other_process() const {
     switch (other_process_) {
         case OtherProcess::alone:
-            return log(spdlog::level::info, "hot_restart.alone", {{"limits", "all of the limits"}});
+            return net::log(spdlog::level::info, "hot_restart.alone", {{"limits", "all of the limits"}});
         case OtherProcess::shared:
-            return log(spdlog::level::info, "hot_restart.shared", {{"limits", "half of the limits each"}});
+            return net::log(spdlog::level::info, "hot_restart.shared",
+                            {{"limits", "half of the limits each"}});
         case OtherProcess::unknown:
-            return log(spdlog::level::warn, "hot_restart.unknown",
-                       {{"limits", "half of the limits"},
-                        {"path", hot_restart_lock_->path()},
-                        {"error", hot_restart_lock_->error()}});
+            return net::log(spdlog::level::warn, "hot_restart.unknown",
+                            {{"limits", "half of the limits"},
+                             {"path", hot_restart_lock_->path()},
+                             {"error", hot_restart_lock_->error()}});
     }
 }
 
-std::optional<Tcp::endpoint> Sidecar::operator_address() const {
+std::optional<net::Tcp::endpoint> Sidecar::operator_address() const {
     return operators_ ? std::optional(operators_->address()) : std::nullopt;
 }
 
@@ -239,9 +242,9 @@
     return metrics;
 }
 
-void Sidecar::reconfigure(const Config& config) {
+void Sidecar::reconfigure(const config::Config& config) {
     if (config.discovery == config_.discovery) return;
-    log(spdlog::level::info, "discovery.moved", {{"address", written(config.discovery)}});
+    net::log(spdlog::level::info, "discovery.moved", {{"address", net::written(config.discovery)}});
     config_.discovery = config.discovery;
     discovery_moved_at_ = clock_.now();
     discovery_->move(config.discovery);
@@ -251,10 +254,10 @@
     if (drained_) return;
     drained_ = std::move(done);
     if (cluster_) cluster_->leave();
-    if (!front_) return std::exchange(drained_, nullptr)();
-    log(spdlog::level::info, "drain.began", {{"requests", flights_.size()}});
+    if (!listener_) return std::exchange(drained_, nullptr)();
+    net::log(spdlog::level::info, "drain.began", {{"requests", flights_.size()}});
     drain_ends_ = clock_.now() + config_.longest_deadline + kKillAfter - kReserve;
-    front_->drain(kAccepting);
+    listener_->drain(kAccepting);
     last_call(std::max(kAccepting, drain_ends_ - kLinger - clock_.now()), kLongestDrain);
 }
 
@@ -264,12 +267,12 @@
 }
 
 void Sidecar::last_call(Millis in, Millis most) {
-    last_call_.expires_after(span(in));
+    last_call_.expires_after(net::span(in));
     last_call_.async_wait(unless_over([this, most = most - in] {
         if (!drained_) return;
-        front_->last_call();
-        if (front_->clients() > 0 && most > 0) return last_call(kLook, most);
-        if (!flights_.empty()) log(spdlog::level::err, "drain.cut_off", {{"requests", flights_.size()}});
+        listener_->end_waiting_connections();
+        if (listener_->connection_count() > 0 && most > 0) return last_call(kLook, most);
+        if (!flights_.empty()) net::log(spdlog::level::err, "drain.cut_off", {{"requests", flights_.size()}});
         std::exchange(drained_, nullptr)();
     }));
 }
@@ -288,7 +291,7 @@
             balancer_.handle(clock_.now(), next, actions_);
             for (const Action& action : actions_) carry_out(action);
         } catch (const std::exception& error) {  // out of memory, say: costs this event and no other
-            log(spdlog::level::err, "event.failed", {{"error", error.what()}});
+            net::log(spdlog::level::err, "event.failed", {{"error", error.what()}});
             note_failure();
         }
     }
@@ -303,13 +306,13 @@
     for (const auto& [id, request] : requests_) doubtful_up_to_ = std::max(doubtful_up_to_, id);
     try {
         look_for_overdue(kLook);
-        if (front_) front_->accept();
+        if (listener_) listener_->resume_accepting();
     } catch (const std::exception&) {  // no memory for that either: the next failure does it
     }
 }
 
 void Sidecar::look_for_overdue(Millis in) {
-    overdue_timer_.expires_after(span(in));
+    overdue_timer_.expires_after(net::span(in));
     overdue_timer_.async_wait(unless_over([this] {
         if (!answer_overdue()) return;
         look_for_overdue(kLook);
@@ -329,7 +332,7 @@
     for (auto at = std::ranges::find_if(requests_, overdue); at != requests_.end();
          at = std::ranges::find_if(requests_, overdue)) {
         const RequestId id = at->first;
-        give_answer(id, Front::Answer(http::status::gateway_timeout, 11));
+        give_answer(id, DownstreamListener::Response(http::status::gateway_timeout, 11));
         gone(id);
     }
     return std::ranges::any_of(requests_, doubtful);
@@ -347,7 +350,7 @@
         Overloaded{
             [&](const SendAttempt& a) { carry_out(a); }, [&](const CancelAttempt& a) { carry_out(a); },
             [&](const RejectRequest& a) {
-                Front::Answer refusal(http::status::service_unavailable, 11);
+                DownstreamListener::Response refusal(http::status::service_unavailable, 11);
                 if (a.retry_after > 0)
                     refusal.set(http::field::retry_after, decimal(a.retry_after / 1000, "%.3f"));
                 answer(a.id, std::move(refusal));
@@ -355,8 +358,8 @@
             [&](const FailRequest& a) {
                 const auto at = requests_.find(a.id);
                 const bool late = at != requests_.end() && clock_.now() >= at->second.deadline;
-                answer(a.id,
-                       Front::Answer(late ? http::status::gateway_timeout : http::status::bad_gateway, 11));
+                answer(a.id, DownstreamListener::Response(
+                                 late ? http::status::gateway_timeout : http::status::bad_gateway, 11));
             },
             [&](const SetTimer& a) { due(a.at, a.token); }, [&](const HealthCheck& a) { probe(a.server); },
             [&](const CloseIdleConnections& a) { upstream_.close_idle(a.server); },
@@ -365,11 +368,11 @@
             },
             [&](const Subscribe& a) { discovery_->watch(a.active); },
             [&](const EndpointEjected& a) {
-                log(spdlog::level::info, "endpoint.ejected",
-                    {{"server", name_of(a.server)}, {"for_ms", std::round(a.until - clock_.now())}});
+                net::log(spdlog::level::info, "endpoint.ejected",
+                         {{"server", name_of(a.server)}, {"for_ms", std::round(a.until - clock_.now())}});
             },
             [&](const EndpointRestored& a) {
-                log(spdlog::level::info, "endpoint.restored", {{"server", name_of(a.server)}});
+                net::log(spdlog::level::info, "endpoint.restored", {{"server", name_of(a.server)}});
             }},
         action);
 }
@@ -386,28 +389,29 @@
     if (server != servers_.end()) ++server->second.out;
     if (r.body && !r.body->kept()) return ended(send.id, number, Outcome::not_sent, {});
 
-    const Front::Message& from = *r.message;
-    Upstream::Request to;
+    const DownstreamListener::RequestHead& from = *r.message;
+    UpstreamPool::Request to;
     to.message.method_string(from.method_string());
     to.message.target(from.target());
     to.message.version(11);
-    copy_end_to_end(to.message, from);
+    net::copy_end_to_end(to.message, from);
     to.message.set(http::field::host, from[http::field::host]);
-    to.may_begin = [this, send](Upstream::Message& head) { return may_begin(send, head); };
-    to.still_wanted = [this, id = send.id] { return !front_->left(id); };
+    to.may_begin = [this, send](UpstreamPool::RequestHead& head) { return may_begin(send, head); };
+    to.still_wanted = [this, id = send.id] { return !listener_->has_client_left(id); };
     if (!to.may_begin(to.message)) return ended(send.id, number, Outcome::not_sent, {});
     if ((to.body = r.body)) r.body->rewind();
     r.attempts[number].exchange = upstream_.start(
         send.server, std::move(to),
-        [this, id = send.id, number](Outcome outcome, Upstream::Response response) {
+        [this, id = send.id, number](Outcome outcome, UpstreamPool::Response response) {
             ended(id, number, outcome, std::move(response));
         },
-        [this, id = send.id, number](Front::Head head, std::shared_ptr<Pipe> body) {
+        [this, id = send.id, number](DownstreamListener::ResponseHead head,
+                                     std::shared_ptr<net::BodyBuffer> body) {
             begun(id, number, std::move(head), std::move(body));
         });
-    if (logs(spdlog::level::debug))
-        log(spdlog::level::debug, "attempt.chosen",
-            {{"request", std::string(from["Request-Id"])}, {"server", server->second.name}});
+    if (net::logs(spdlog::level::debug))
+        net::log(spdlog::level::debug, "attempt.chosen",
+                 {{"request", std::string(from["Request-Id"])}, {"server", server->second.name}});
     if (until < kNever) due(until, AttemptLimit{send.id, number});
 }
 
@@ -420,15 +424,15 @@
 // left by then is not served, a server that leaves gets nothing new, and what comes too late is not issued.
 // The head tells what is left by the same reading of the clock, in whole milliseconds, rounded down. The time
 // of a body that is still coming counts from its last byte, which may stand unread already.
-bool Sidecar::may_begin(const SendAttempt& send, Upstream::Message& head) {
+bool Sidecar::may_begin(const SendAttempt& send, UpstreamPool::RequestHead& head) {
     const auto request = requests_.find(send.id);
     const auto server = servers_.find(send.server);
     if (request == requests_.end() || request->second.ended || server == servers_.end()) return false;
-    if (front_->left(send.id)) return gone(send.id), false;
+    if (listener_->has_client_left(send.id)) return gone(send.id), false;
     if (!server->second.listed || server->second.leaving) return false;
     const Millis now = clock_.now();
     const Request& r = request->second;
-    const Millis unread = r.whole_at > 0 ? 0 : front_->unread_for(send.id);
+    const Millis unread = r.whole_at > 0 ? 0 : listener_->unread_time(send.id);
     const Millis left = std::floor(std::min(r.time_left - unread, waits_until(send, r) - now));
     if (left < 1 || (send.send_by > 0 && now >= send.send_by)) return false;
     head.set("Request-Timeout-Ms", decimal(left, "%.0f"));
@@ -440,11 +444,11 @@
     if (request == requests_.end() || cancel.attempt >= request->second.attempts.size()) return;
     const Attempt& attempt = request->second.attempts[cancel.attempt];
     if (!attempt.out) return;
-    upstream_.stop(attempt.exchange);
+    upstream_.cancel(attempt.exchange);
     ended(cancel.id, cancel.attempt, Outcome::cancelled, {});
 }
 
-void Sidecar::answer(RequestId id, Front::Answer answer) {
+void Sidecar::answer(RequestId id, DownstreamListener::Response answer) {
     const auto at = requests_.find(id);
     if (at == requests_.end() || at->second.ended) return;
     at->second.ended = true;
@@ -452,14 +456,14 @@
     forget_request(id);
 }
 
-void Sidecar::give_answer(RequestId id, Front::Answer answer) {
+void Sidecar::give_answer(RequestId id, DownstreamListener::Response answer) {
     Flight& flight = flights_[id];
     flight.class_index = requests_.at(id).class_index;
     flight.ending = ending_of(answer.result_int());
-    front_->answer(id, std::move(answer));
+    listener_->respond(id, std::move(answer));
 }
 
-void Sidecar::arrived(Front::Arrival arrival) {
+void Sidecar::arrived(DownstreamListener::IncomingRequest arrival) {
     RequestArrived event;
     event.id = arrival.id;
     event.class_index = config_.site.class_index(arrival.class_name);
@@ -467,13 +471,13 @@
     // nobody knows whether it may run twice.
     const auto& classes = config_.site.settings.classes;
     if (event.class_index >= classes.size())
-        return front_->answer(arrival.id, Front::Answer(http::status::not_found, 11));
+        return listener_->respond(arrival.id, DownstreamListener::Response(http::status::not_found, 11));
     if (!in_form(classes[event.class_index], *arrival.message, arrival.body != nullptr))
-        return front_->answer(arrival.id, Front::Answer(http::status::bad_request, 11));
+        return listener_->respond(arrival.id, DownstreamListener::Response(http::status::bad_request, 11));
     if (!arrival.tenant.empty()) event.tenant = config_.site.tenant_index(arrival.tenant);
     event.time_left = within_drain(arrival.time_left);
     event.effort = arrival.effort;
-    event.is_retry = arrival.repeat;
+    event.is_retry = arrival.is_retry;
     event.body_incomplete = arrival.body && !arrival.body->whole();
     event.affinity_hash = affinity_of(arrival.class_name, *arrival.message);
     Request& request = requests_[arrival.id];
@@ -490,8 +494,9 @@
 }
 
 // 0: it has no key.
-std::uint64_t Sidecar::affinity_of(std::string_view class_name, const Front::Message& message) const {
-    for (const Config::Affinity& rule : config_.affinity) {
+std::uint64_t Sidecar::affinity_of(std::string_view class_name,
+                                   const DownstreamListener::RequestHead& message) const {
+    for (const config::Config::Affinity& rule : config_.affinity) {
         if (rule.class_name != "*" && rule.class_name != class_name) continue;
         const auto key = rule.header.empty() ? message.target() : message[rule.header];
         return key.empty() ? 0 : std::max<std::uint64_t>(1, XXH64(key.data(), key.size(), 0));
@@ -504,7 +509,7 @@
     if (at == requests_.end() || at->second.ended) return;
     Request& r = at->second;
     r.whole_at = clock_.now();
-    r.time_left = within_drain(std::max(0.0, r.time_left - front_->unread_for(id)));
+    r.time_left = within_drain(std::max(0.0, r.time_left - listener_->unread_time(id)));
     r.deadline = r.whole_at + r.time_left;
     flights_[id].class_index = r.class_index;
     for (std::uint32_t number = 0; number < r.attempts.size(); ++number)
@@ -512,12 +517,13 @@
     give(BodyComplete{id, r.time_left});
 }
 
-void Sidecar::begun(RequestId id, std::uint32_t number, Front::Head head, std::shared_ptr<Pipe> body) {
+void Sidecar::begun(RequestId id, std::uint32_t number, DownstreamListener::ResponseHead head,
+                    std::shared_ptr<net::BodyBuffer> body) {
     const auto at = requests_.find(id);
     if (at == requests_.end() || !at->second.attempts[number].out) return;
     Attempt& attempt = at->second.attempts[number];
     if (at->second.ended) {  // nobody waits for it
-        upstream_.stop(attempt.exchange);
+        upstream_.cancel(attempt.exchange);
         return ended(id, number, Outcome::completed, {});
     }
     attempt.begun = clock_.now();
@@ -525,7 +531,7 @@
     flight.class_index = at->second.class_index;
     flight.ending = Ending::served;
     give(ResponseStarted{id, number});
-    front_->stream(id, std::move(head), std::move(body));
+    listener_->stream_response(id, std::move(head), std::move(body));
 }
 
 void Sidecar::gone(RequestId id) {
@@ -549,15 +555,15 @@
     // Settings may forbid to withdraw what a server has whole. What it has not must never come to be, and
     // what can't come to its end without the client is not left to run out.
     each_out([&](const Request&, const Attempt& attempt, std::uint32_t i) {
-        const bool begun = upstream_.begun(attempt.exchange);
-        if (upstream_.written(attempt.exchange) && attempt.begun == 0) return;
-        upstream_.stop(attempt.exchange);
+        const bool begun = upstream_.may_have_started(attempt.exchange);
+        if (upstream_.is_written(attempt.exchange) && attempt.begun == 0) return;
+        upstream_.cancel(attempt.exchange);
         ended(id, i, begun ? Outcome::cancelled : Outcome::not_sent, {});
     });
     if (requests_.contains(id)) forget_request(id);
 }
 
-void Sidecar::ended(RequestId id, std::uint32_t number, Outcome outcome, Upstream::Response response) {
+void Sidecar::ended(RequestId id, std::uint32_t number, Outcome outcome, UpstreamPool::Response response) {
     const auto at = requests_.find(id);
     if (at == requests_.end()) return;
     Request& r = at->second;
@@ -576,8 +582,8 @@
     if (attempt.begun > 0)
         event.request_ended = r.ended = true;
     else if ((outcome == Outcome::completed || outcome == Outcome::invalid_request) && !r.ended) {
-        Front::Answer made(response.result(), 11);
-        copy_end_to_end(made, response);
+        DownstreamListener::Response made(response.result(), 11);
+        net::copy_end_to_end(made, response);
         made.body() = std::move(response.body());
         event.request_ended = r.ended = true;
         give_answer(id, std::move(made));
@@ -592,12 +598,12 @@
     const auto at = servers_.find(server);
     if (!config_.may_probe || at == servers_.end() || !at->second.listed)
         return give(HealthCheckEnded{server, Outcome::not_sent, 0});
-    Upstream::Request ping;
+    UpstreamPool::Request ping;
     ping.attempt = false;
     ping.message.method(http::verb::get);
     ping.message.target("/ping");
     ping.message.set(http::field::host, at->second.name);
-    const auto timeout = std::make_shared<asio::steady_timer>(io_, span(kProbeTimeout));
+    const auto timeout = std::make_shared<asio::steady_timer>(io_, net::span(kProbeTimeout));
     const auto told = [this, server, timeout, began = clock_.now()](Outcome outcome) {
         timeout->cancel();
         give(HealthCheckEnded{server, outcome, clock_.now() - began});
@@ -605,7 +611,7 @@
     const ExchangeId exchange =
         upstream_.start(server, std::move(ping), [told](Outcome outcome, const auto&) { told(outcome); });
     timeout->async_wait([this, told, exchange](boost::system::error_code cancelled) {
-        if (!cancelled) told(upstream_.stop(exchange) ? Outcome::timed_out : Outcome::connect_failed);
+        if (!cancelled) told(upstream_.cancel(exchange) ? Outcome::timed_out : Outcome::connect_failed);
     });
 }
 
@@ -623,13 +629,13 @@
     return server == servers_.end() ? "" : server->second.name;
 }
 
-void Sidecar::list(ListKind kind, const MemberList& members) {
+void Sidecar::list(ListKind kind, const config::DiscoveryList& members) {
     log_list(members);
     EndpointList event{kind, {}};
     const ServerStartTimes::Moment moment = moment_of(kind);
     if (kind != ListKind::incremental)
         for (auto& [id, server] : servers_) set_listed(server, false);
-    for (const Member& m : members.members) event.servers.push_back(take_member(m, moment));
+    for (const config::DiscoveredServer& m : members.members) event.servers.push_back(take_member(m, moment));
     // A change is of few servers, however many are listed: no other one can have left by it.
     std::vector<ServerId> concerned;
     if (kind == ListKind::incremental)
@@ -638,22 +644,23 @@
         for (const auto& [id, server] : servers_) concerned.push_back(id);
     give(std::move(event));
     for (const ServerId id : concerned) forget_server(id);
-    if (!front_ && listed_ > 0 && kind != ListKind::cached) open_front_when_possible();
+    if (!listener_ && listed_ > 0 && kind != ListKind::cached) open_front_when_possible();
 }
 
-void Sidecar::log_list(const MemberList& members) const {
-    if (!logs(spdlog::level::debug)) return;
-    LogFields leaving = LogFields::array();
-    for (const Member& m : members.members)
+void Sidecar::log_list(const config::DiscoveryList& members) const {
+    if (!net::logs(spdlog::level::debug)) return;
+    net::LogFields leaving = net::LogFields::array();
+    for (const config::DiscoveredServer& m : members.members)
         if (m.state != EndpointState::active) leaving.push_back(m.id);
-    log(spdlog::level::debug, "list.changed",
-        {{"version", members.version},
-         {"full", members.full},
-         {"entries", members.members.size()},
-         {"leaving", std::move(leaving)}});
+    net::log(spdlog::level::debug, "list.changed",
+             {{"version", members.version},
+              {"full", members.full},
+              {"entries", members.members.size()},
+              {"leaving", std::move(leaving)}});
 }
 
-EndpointInfo Sidecar::take_member(const Member& member, const ServerStartTimes::Moment& moment) {
+EndpointInfo Sidecar::take_member(const config::DiscoveredServer& member,
+                                  const ServerStartTimes::Moment& moment) {
     const ServerId id = server_id(member.id);
     Server& server = servers_[id];
     set_listed(server, member.state != EndpointState::removed);
@@ -685,13 +692,14 @@
     return moment;
 }
 
-ServerStartTimes::Start Sidecar::start_of(const Member& member, const ServerStartTimes::Moment& moment) {
+ServerStartTimes::Start Sidecar::start_of(const config::DiscoveredServer& member,
+                                          const ServerStartTimes::Moment& moment) {
     const ServerStartTimes::Start start = start_times_.start_of(member.id, member.started, moment);
     if (start.changed && start.dated)
-        log(spdlog::level::info, "server.start_dated", {{"server", member.id}});
+        net::log(spdlog::level::info, "server.start_dated", {{"server", member.id}});
     else if (start.changed)
-        log(spdlog::level::warn, "server.start_not_dated",
-            {{"server", member.id}, {"started_ms", member.started}, {"taken_for", "started just now"}});
+        net::log(spdlog::level::warn, "server.start_not_dated",
+                 {{"server", member.id}, {"started_ms", member.started}, {"taken_for", "started just now"}});
     return start;
 }
 
@@ -736,7 +744,7 @@
 
 // An attempt's time.
 void Sidecar::run_out(RequestId id, std::uint32_t attempt) {
-    const bool written = upstream_.stop(requests_.at(id).attempts[attempt].exchange);
+    const bool written = upstream_.cancel(requests_.at(id).attempts[attempt].exchange);
     ended(id, attempt, written ? Outcome::timed_out : Outcome::connect_failed, {});
 }
 
--- a/src/node/sidecar.hpp
+++ b/src/node/sidecar.hpp
@@ -16,16 +16,16 @@
 #include <vector>
 
 #include "cluster/agent.hpp"
-#include "node/clock.hpp"
-#include "node/config.hpp"
+#include "config/config.hpp"
+#include "net/clock.hpp"
 #include "node/discovery.hpp"
-#include "node/front.hpp"
+#include "node/downstream_listener.hpp"
 #include "node/hot_restart_lock.hpp"
 #include "node/metrics.hpp"
 #include "node/operator.hpp"
 #include "node/peers.hpp"
 #include "node/server_start_times.hpp"
-#include "node/upstream.hpp"
+#include "node/upstream_pool.hpp"
 
 namespace mothring::node {
 
@@ -33,10 +33,10 @@
 public:
     // Ready when it returns, or, beside another process of this sidecar, once there is a list to serve from.
     // Throws where the settings make no sense or an address can't be listened on.
-    Sidecar(boost::asio::io_context& io, Config config);
+    Sidecar(boost::asio::io_context& io, config::Config config);
 
     // A configuration that replaces the one it was started with: discovery may have moved. The rest stays.
-    void reconfigure(const Config& config);
+    void reconfigure(const config::Config& config);
 
     // Finishes what it holds and what still comes, then calls `done`.
     void drain(std::function<void()> done);
@@ -44,10 +44,10 @@
     // An exception has left the io_context's loop; what it cost is not known.
     void note_failure();
 
-    Tcp::endpoint address() const { return front_->address(); }
+    net::Tcp::endpoint address() const { return listener_->address(); }
     // Where operators call, if anywhere.
-    std::optional<Tcp::endpoint> operator_address() const;
-    bool ready() const { return front_ && listed_ > 0 && !drained_; }
+    std::optional<net::Tcp::endpoint> operator_address() const;
+    bool ready() const { return listener_ && listed_ > 0 && !drained_; }
     Metrics metrics() const;
     Balancer::Gauges gauges() const { return balancer_.gauges(); }
     std::size_t records() const { return requests_.size(); }
@@ -64,10 +64,10 @@
         Millis begun = 0;  // to be passed on; none: not begun
     };
     struct Request {
-        std::shared_ptr<const Front::Message> message;
-        std::shared_ptr<Pipe> body;  // none: it has none
-        Millis time_left = 0;        // from its last byte on
-        Millis whole_at = 0;         // none: its body is yet to come
+        std::shared_ptr<const DownstreamListener::RequestHead> message;
+        std::shared_ptr<net::BodyBuffer> body;  // none: it has none
+        Millis time_left = 0;                   // from its last byte on
+        Millis whole_at = 0;                    // none: its body is yet to come
         Millis deadline = 0;
         std::vector<Attempt> attempts;
         std::size_t out = 0;
@@ -107,22 +107,24 @@
     void carry_out(const Action& action);
     void carry_out(const SendAttempt& send);
     void carry_out(const CancelAttempt& cancel);
-    void answer(RequestId id, Front::Answer answer);
-    void give_answer(RequestId id, Front::Answer answer);
+    void answer(RequestId id, DownstreamListener::Response answer);
+    void give_answer(RequestId id, DownstreamListener::Response answer);
 
-    void arrived(Front::Arrival arrival);
+    void arrived(DownstreamListener::IncomingRequest arrival);
     void gone(RequestId id);
-    bool may_begin(const SendAttempt& send, Upstream::Message& head);
+    bool may_begin(const SendAttempt& send, UpstreamPool::RequestHead& head);
     Millis waits_until(const SendAttempt& send, const Request& request) const;
     void run_out(RequestId id, std::uint32_t attempt);
     void whole(RequestId id);
-    void begun(RequestId id, std::uint32_t attempt, Front::Head head, std::shared_ptr<Pipe> body);
-    void ended(RequestId id, std::uint32_t attempt, Outcome outcome, Upstream::Response response);
+    void begun(RequestId id, std::uint32_t attempt, DownstreamListener::ResponseHead head,
+               std::shared_ptr<net::BodyBuffer> body);
+    void ended(RequestId id, std::uint32_t attempt, Outcome outcome, UpstreamPool::Response response);
     void probe(ServerId server);
     void open_front();
     void open_front_when_possible();
     void open_cluster();
-    std::uint64_t affinity_of(std::string_view class_name, const Front::Message& message) const;
+    std::uint64_t affinity_of(std::string_view class_name,
+                              const DownstreamListener::RequestHead& message) const;
     void watch_other_process();
     void log_other_process() const;
     void last_call(Millis in, Millis most);
@@ -132,12 +134,13 @@
 
     ServerId server_id(const std::string& name);
     std::string name_of(ServerId id) const;
-    void list(ListKind kind, const MemberList& members);
-    void log_list(const MemberList& members) const;
-    EndpointInfo take_member(const Member& member, const ServerStartTimes::Moment& moment);
+    void list(ListKind kind, const config::DiscoveryList& members);
+    void log_list(const config::DiscoveryList& members) const;
+    EndpointInfo take_member(const config::DiscoveredServer& member, const ServerStartTimes::Moment& moment);
     void set_listed(Server& server, bool listed);
     ServerStartTimes::Moment moment_of(ListKind kind) const;
-    ServerStartTimes::Start start_of(const Member& member, const ServerStartTimes::Moment& moment);
+    ServerStartTimes::Start start_of(const config::DiscoveredServer& member,
+                                     const ServerStartTimes::Moment& moment);
     void forget_request(RequestId id);
     void forget_server(ServerId id);
 
@@ -154,10 +157,10 @@
     void arm();
 
     boost::asio::io_context& io_;
-    Config config_;
-    Clock clock_;
+    config::Config config_;
+    net::Clock clock_;
     Balancer balancer_;
-    std::shared_ptr<Budget> budget_ = std::make_shared<Budget>();
+    std::shared_ptr<net::BufferBudget> budget_ = std::make_shared<net::BufferBudget>();
     std::deque<Event> events_;  // what happened while actions were carried out
     bool handling_ = false;
     std::vector<Action> actions_;
@@ -170,12 +173,12 @@
     std::priority_queue<Due> due_;
     std::uint64_t next_due_ = 0;
     boost::asio::steady_timer timer_;
-    Upstream upstream_;
+    UpstreamPool upstream_;
     std::optional<Discovery> discovery_;
     std::optional<Peers> peers_;
     std::optional<OperatorListener> operators_;
     std::optional<cluster::Agent> cluster_;
-    LogLimit rejected_{std::chrono::seconds(1)};  // a flood of bad datagrams writes a line a second
+    net::LogLimit rejected_{std::chrono::seconds(1)};  // a flood of bad datagrams writes a line a second
     std::optional<HotRestartLock> hot_restart_lock_;
     boost::asio::steady_timer hot_restart_timer_, listen_timer_;
     OtherProcess other_process_ = OtherProcess::alone;
@@ -183,7 +186,7 @@
     std::size_t listed_ = 0;  // of servers_
     Metrics metrics_;
     std::unordered_map<RequestId, Flight> flights_;
-    std::optional<Front> front_;
+    std::optional<DownstreamListener> listener_;
     boost::asio::steady_timer last_call_;  // of a drain
     boost::asio::steady_timer overdue_timer_;
     RequestId doubtful_up_to_ = 0;  // held when something failed last: this request and those before it
--- a/src/node/upstream.cpp
+++ b/src/node/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "node/upstream.hpp"
+#include "node/upstream_pool.hpp"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -7,11 +7,11 @@
 #include <optional>
 #include <utility>
 
-#include "node/clock.hpp"
-#include "node/log.hpp"
-#include "node/message.hpp"
-#include "node/message_writer.hpp"
-#include "node/socket_errors.hpp"
+#include "net/clock.hpp"
+#include "net/http_message.hpp"
+#include "net/log.hpp"
+#include "net/message_writer.hpp"
+#include "net/socket_errors.hpp"
 
 namespace mothring::node {
 
@@ -22,8 +22,8 @@
 namespace {
 
 // Answers that are not HTTP come from a server in bulk: a line a second tells of them.
-LogLimit& not_http_log() {
-    static LogLimit limit(std::chrono::seconds(1));
+net::LogLimit& not_http_log() {
+    static net::LogLimit limit(std::chrono::seconds(1));
     return limit;
 }
 
@@ -48,9 +48,9 @@
 // One connection: connecting, carrying an exchange, or idle. It waits to be readable, so that it learns of
 // its end while idle, and reads an answer only while it carries an exchange and as far as there is room for
 // it.
-class Upstream::Connection : public std::enable_shared_from_this<Connection> {
+class UpstreamPool::Connection : public std::enable_shared_from_this<Connection> {
 public:
-    Connection(Upstream& owner, ServerId to, std::uint64_t in_life)
+    Connection(UpstreamPool& owner, ServerId to, std::uint64_t in_life)
         : server(to),
           life(in_life),
           owner_(&owner),
@@ -61,7 +61,7 @@
     }
     ~Connection() { close(); }
 
-    void connect(const Tcp::endpoint& address) {
+    void connect(const net::Tcp::endpoint& address) {
         expire_after(owner_->limits_.connect_timeout);
         error_code error;
         if (socket_.open(address.protocol(), error)) {  // out of descriptors
@@ -78,7 +78,7 @@
             self->expire_never();
             error_code ignored;
             self->socket_.non_blocking(true, ignored);
-            self->socket_.set_option(Tcp::no_delay(true), ignored);
+            self->socket_.set_option(net::Tcp::no_delay(true), ignored);
             self->wait_readable();
             // Much may have come between the choice and now.
             const auto request = self->exchange_->request;
@@ -87,7 +87,7 @@
         });
     }
 
-    void carry(ExchangeId id, Request request, Done done, Begun begun) {
+    void carry(ExchangeId id, Request request, OnEnded done, OnResponseStarted begun) {
         exchange_.emplace(
             Exchange{id, std::make_shared<Request>(std::move(request)), std::move(done), std::move(begun)});
         if (connected_) {
@@ -106,8 +106,9 @@
         char byte;
         error_code error;
         socket_.non_blocking(true, error);
-        socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
-        return error == asio::error::would_block && std::chrono::steady_clock::now() - since_ < span(limit);
+        socket_.receive(asio::buffer(&byte, 1), net::Tcp::socket::message_peek, error);
+        return error == asio::error::would_block &&
+               std::chrono::steady_clock::now() - since_ < net::span(limit);
     }
     std::chrono::steady_clock::time_point idle_since() const { return since_; }
 
@@ -139,13 +140,13 @@
     struct Exchange {
         ExchangeId id;
         std::shared_ptr<Request> request;
-        Done done;
-        Begun begun;
+        OnEnded done;
+        OnResponseStarted begun;
     };
     using Parser = http::response_parser<http::buffer_body>;
 
     void expire_after(Millis length) {
-        timer_.expires_after(span(length));
+        timer_.expires_after(net::span(length));
         timer_.async_wait([weak = weak_from_this(), due = timer_.expiry()](error_code cancelled) {
             const auto self = weak.lock();
             if (cancelled || !self || self->timer_.expiry() != due || !self->owner_) return;
@@ -168,14 +169,15 @@
         written_ = last_ = false;
         const auto request = exchange_->request;
         auto& message = request->message;
-        if (logs(spdlog::level::debug))
-            log(spdlog::level::debug, "attempt.written", {{"request", std::string(message["Request-Id"])}});
+        if (net::logs(spdlog::level::debug))
+            net::log(spdlog::level::debug, "attempt.written",
+                     {{"request", std::string(message["Request-Id"])}});
         if (!request->body || request->body->whole()) {
             const auto body = request->body ? request->body->unread() : std::string_view();
             message.body() = boost::beast::span<const char>(body.data(), body.size());
             message.prepare_payload();
             last_ = true;
-            return write_out(write_step(message, Part::whole), 0);
+            return write_out(net::write_step(message, net::Part::whole), 0);
         }
         if (request->body->length)
             message.content_length(*request->body->length);
@@ -184,27 +186,28 @@
         request->body->on_more = [weak = weak_from_this()] {
             if (const auto self = weak.lock()) self->pump();
         };
-        write_out(write_step(message, Part::header), 0);
+        write_out(net::write_step(message, net::Part::header), 0);
     }
 
     // Passes on what has come of the body; its last bytes go out with what ends it.
     void pump() {
         if (!owner_ || !exchange_ || writing_ || written_ || last_) return;
-        Pipe& body = *exchange_->request->body;
+        net::BodyBuffer& body = *exchange_->request->body;
         const auto bytes = body.unread();
         // With a stated length its last byte goes out before its end is told.
         last_ = body.whole() || body.length == body.total();
         if (bytes.empty() && !last_) return;
         const asio::const_buffer out(bytes.data(), bytes.size());
         if (body.length)
-            write_out(write_step(out), bytes.size());
+            write_out(net::write_step(out), bytes.size());
         else if (bytes.empty())
-            write_out(write_step(http::make_chunk_last()), 0);
+            write_out(net::write_step(http::make_chunk_last()), 0);
         else if (!last_)
-            write_out(write_step(http::make_chunk(out)), bytes.size());
+            write_out(net::write_step(http::make_chunk(out)), bytes.size());
         else
-            write_out(write_step(boost::beast::buffers_cat(http::make_chunk(out), http::make_chunk_last())),
-                      bytes.size());
+            write_out(
+                net::write_step(boost::beast::buffers_cat(http::make_chunk(out), http::make_chunk_last())),
+                bytes.size());
     }
 
     // What is to be done later, provided that the request is still the same one then.
@@ -216,17 +219,17 @@
     }
 
     // Takes `count` from the body when all of this has been written.
-    void write_out(WriteStep step, std::size_t count) {
+    void write_out(net::WriteStep step, std::size_t count) {
         writing_ = true;
         error_code failed;
-        if (write_what_is_taken(step, socket_, failed)) return wrote(count);
-        if (!is_to_be_repeated(failed))  // never from within start()
+        if (net::write_what_is_taken(step, socket_, failed)) return wrote(count);
+        if (!net::is_to_be_repeated(failed))  // never from within start()
             return asio::post(socket_.get_executor(), if_still_out([this] { fail(false); }));
         auto go_on = if_still_out([this, step = std::move(step), count]() mutable {
             const auto& wanted = exchange_->request->still_wanted;
             if (!wanted || wanted()) write_out(std::move(step), count);
         });
-        socket_.async_wait(Tcp::socket::wait_write,
+        socket_.async_wait(net::Tcp::socket::wait_write,
                            [go_on = std::move(go_on)](error_code) mutable { go_on(); });
     }
 
@@ -244,7 +247,7 @@
     void wait_readable() {
         if (waiting_ || !owner_) return;
         waiting_ = true;
-        socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this()](error_code failed) {
+        socket_.async_wait(net::Tcp::socket::wait_read, [self = shared_from_this()](error_code failed) {
             self->waiting_ = false;
             if (!self->owner_) return;
             if (failed || !self->exchange_) return self->close();  // its end, or what nobody asked for
@@ -273,7 +276,7 @@
         error_code error;
         const std::size_t size = std::min(buffer_.max_size() - buffer_.size(), pipe_ ? kPiece : kHeadPiece);
         const std::size_t count = socket_.read_some(buffer_.prepare(size), error);
-        if (is_to_be_repeated(error)) {
+        if (net::is_to_be_repeated(error)) {
             wait_readable();
             return false;
         }
@@ -299,8 +302,8 @@
     bool parse() {
         if (!parser_) {
             parser_.emplace();
-            parser_->header_limit(kHeaderLimit);
-            parser_->body_limit(kLargestBody);
+            parser_->header_limit(net::kHeaderLimit);
+            parser_->body_limit(net::kLargestBody);
         }
         error_code error;
         std::size_t room = 0;
@@ -327,7 +330,8 @@
         if (heading && parser_->is_header_done() && !head_done()) return false;
         if (!parser_) return true;  // an interim answer
         if (parser_->is_done()) return answered(), false;
-        const bool large = pipe_ && pipe_->length && *pipe_->length > Pipe::kMost && pipe_->total() > 0;
+        const bool large =
+            pipe_ && pipe_->length && *pipe_->length > net::BodyBuffer::kMost && pipe_->total() > 0;
         if (pipe_ && !streaming_ && (large || pipe_->full())) full();
         return exchange_.has_value();
     }
@@ -339,10 +343,10 @@
             return true;
         }
         const auto length = parser_->content_length();
-        if (length && *length > kLargestBody) return broke(http::error::body_limit), false;
+        if (length && *length > net::kLargestBody) return broke(http::error::body_limit), false;
         if (parser_->is_done()) return true;
-        pipe_ = std::make_shared<Pipe>(owner_->budget_,
-                                       length ? std::optional<std::uint64_t>(*length) : std::nullopt);
+        pipe_ = std::make_shared<net::BodyBuffer>(
+            owner_->budget_, length ? std::optional<std::uint64_t>(*length) : std::nullopt);
         // How much there is to come is not known: after a while what there is goes on.
         if (!length && exchange_->begun) expire_after(owner_->limits_.gather);
         return true;
@@ -371,12 +375,12 @@
             });
         };
         Head head(http::status::ok, 11);
-        copy_end_to_end(head, parser_->get());
+        net::copy_end_to_end(head, parser_->get());
         exchange_->begun(std::move(head), pipe_);
     }
 
     void broke(error_code why) {
-        if (malformed(why))
+        if (net::malformed(why))
             not_http_log().log(spdlog::level::warn, "upstream.not_http", {{"why", why.message()}});
         // The proof that it never ran stands in the header.
         if (parser_ && parser_->is_header_done() && parser_->get().result_int() != 200) return answered();
@@ -388,7 +392,7 @@
         Response response(parser_->get().result(), 11);
         const Outcome outcome = outcome_of(parser_->get());
         if (!streaming_) {
-            copy_end_to_end(response, parser_->get());
+            net::copy_end_to_end(response, parser_->get());
             if (pipe_) response.body() = std::string(pipe_->unread());
         }
         end(keep, outcome, std::move(response));
@@ -397,13 +401,13 @@
     // Asio takes EAGAIN for a connection that is on its way, and the first look at it for its success. A
     // connection that has been up, and ended, is shut down for reading too.
     bool never_connected() {
-        const short events = events_now(socket_.native_handle(), POLLRDHUP);
+        const short events = net::events_now(socket_.native_handle(), POLLRDHUP);
         return (events & POLLHUP) != 0 && (events & POLLRDHUP) == 0;
     }
 
     // Only what is the server's counts against it.
     void unconnected(error_code why) {
-        if (!exchange_ || !is_local_failure(why)) return fail(false);
+        if (!exchange_ || !net::is_local_failure(why)) return fail(false);
         end(false, Outcome::not_sent, {});
     }
 
@@ -413,7 +417,7 @@
     }
 
     // What it shares with others of its exchange; the answer that is passed on, if any, is to be ended.
-    std::shared_ptr<Pipe> let_go() {
+    std::shared_ptr<net::BodyBuffer> let_go() {
         if (exchange_ && exchange_->request->body) exchange_->request->body->on_more = nullptr;
         const auto pipe = std::exchange(pipe_, nullptr);
         if (pipe) pipe->on_room = nullptr;
@@ -424,7 +428,7 @@
     // Whoever reads the answer learns of its end last: it may end the client, and all that is its.
     void end(bool keep, Outcome outcome, Response response) {
         const auto self = shared_from_this();
-        Upstream* const owner = owner_;
+        UpstreamPool* const owner = owner_;
         const auto pipe = let_go();
         Exchange exchange = std::move(*exchange_);
         exchange_.reset();
@@ -441,28 +445,28 @@
             pipe->fail();
     }
 
-    Upstream* owner_;  // none: closed
+    UpstreamPool* owner_;  // none: closed
     const std::shared_ptr<Stats> stats_;
-    Tcp::socket socket_;
+    net::Tcp::socket socket_;
     asio::steady_timer timer_;
-    boost::beast::flat_buffer buffer_{kHeaderLimit + kHeadPiece};
+    boost::beast::flat_buffer buffer_{net::kHeaderLimit + kHeadPiece};
     std::optional<Parser> parser_;
-    std::shared_ptr<Pipe> pipe_;  // of the answer's body
+    std::shared_ptr<net::BodyBuffer> pipe_;  // of the answer's body
     std::optional<Exchange> exchange_;
     std::chrono::steady_clock::time_point since_;
     bool connected_ = false, waiting_ = false, streaming_ = false, begun_ = false;
     bool writing_ = false, last_ = false, written_ = false;  // the request
 };
 
-Upstream::Upstream(asio::io_context& io, Limits limits, std::shared_ptr<Budget> budget)
+UpstreamPool::UpstreamPool(asio::io_context& io, Limits limits, std::shared_ptr<net::BufferBudget> budget)
     : io_(io), limits_(limits), budget_(std::move(budget)) {}
 
-Upstream::~Upstream() {
+UpstreamPool::~UpstreamPool() {
     for (auto& [id, server] : servers_) drop_idle(server);
-    while (!exchanges_.empty()) stop(exchanges_.begin()->first);
+    while (!exchanges_.empty()) cancel(exchanges_.begin()->first);
 }
 
-void Upstream::set_server(ServerId id, const Tcp::endpoint& address, Millis started) {
+void UpstreamPool::set_server(ServerId id, const net::Tcp::endpoint& address, Millis started) {
     Server& server = servers_[id];
     if (server.life != 0 && server.address == address && server.started == started) return;
     drop_idle(server);
@@ -471,23 +475,23 @@
     server.life = next_life_++;
 }
 
-void Upstream::forget_server(ServerId id) {
+void UpstreamPool::forget_server(ServerId id) {
     const auto at = servers_.find(id);
     if (at == servers_.end()) return;
     drop_idle(at->second);
     servers_.erase(at);
 }
 
-void Upstream::close_idle(ServerId id) {
+void UpstreamPool::close_idle(ServerId id) {
     if (const auto at = servers_.find(id); at != servers_.end()) drop_idle(at->second);
 }
 
-void Upstream::drop_idle(Server& server) {
+void UpstreamPool::drop_idle(Server& server) {
     for (const ConnectionPtr& connection : std::exchange(server.idle, {})) connection->close();
 }
 
-Upstream::ConnectionPtr Upstream::take_idle(Server& server) {
-    const auto rested = std::chrono::steady_clock::now() - span(limits_.rest);
+UpstreamPool::ConnectionPtr UpstreamPool::take_idle(Server& server) {
+    const auto rested = std::chrono::steady_clock::now() - net::span(limits_.rest);
     for (std::size_t i = server.idle.size(); i > 0;
          --i) {  // each closed one leaves the others in their order
         ConnectionPtr connection = server.idle[i - 1];
@@ -503,7 +507,7 @@
 }
 
 // At the bound, the connection that has been idle longest makes room.
-bool Upstream::make_room() {
+bool UpstreamPool::make_room() {
     if (stats_->open < limits_.connections) return true;
     ConnectionPtr oldest;
     for (const auto& [id, server] : servers_)
@@ -513,13 +517,13 @@
     return oldest != nullptr;
 }
 
-void Upstream::limit_connections(std::size_t connections) {
+void UpstreamPool::limit_connections(std::size_t connections) {
     limits_.connections = connections;
     while (stats_->open > limits_.connections && make_room()) {
     }
 }
 
-ExchangeId Upstream::start(ServerId id, Request request, Done done, Begun begun) {
+ExchangeId UpstreamPool::start(ServerId id, Request request, OnEnded done, OnResponseStarted begun) {
     const ExchangeId exchange = next_exchange_++;
     const auto server = servers_.find(id);
     ConnectionPtr connection = server == servers_.end() ? nullptr : take_idle(server->second);
@@ -538,7 +542,7 @@
     return exchange;
 }
 
-bool Upstream::stop(ExchangeId id) {
+bool UpstreamPool::cancel(ExchangeId id) {
     const auto at = exchanges_.find(id);
     if (at == exchanges_.end()) return false;
     const ConnectionPtr connection = at->second;
@@ -546,29 +550,29 @@
     return connection->stop();
 }
 
-bool Upstream::begun(ExchangeId id) const {
+bool UpstreamPool::may_have_started(ExchangeId id) const {
     const auto at = exchanges_.find(id);
     return at != exchanges_.end() && at->second->begun();
 }
 
-bool Upstream::written(ExchangeId id) const {
+bool UpstreamPool::is_written(ExchangeId id) const {
     const auto at = exchanges_.find(id);
     return at != exchanges_.end() && at->second->written();
 }
 
-void Upstream::ended(ExchangeId exchange, const Done& done, Outcome outcome, Response response) {
+void UpstreamPool::ended(ExchangeId exchange, const OnEnded& done, Outcome outcome, Response response) {
     exchanges_.erase(exchange);
     done(outcome, std::move(response));
 }
 
-void Upstream::reuse(const ConnectionPtr& connection) {
+void UpstreamPool::reuse(const ConnectionPtr& connection) {
     const auto server = servers_.find(connection->server);
     if (server == servers_.end() || server->second.life != connection->life) return connection->close();
     server->second.idle.push_back(connection);
     connection->rest(limits_.idle);
 }
 
-void Upstream::remove(const Connection& connection) {
+void UpstreamPool::remove(const Connection& connection) {
     const auto server = servers_.find(connection.server);
     if (server == servers_.end()) return;
     std::erase_if(server->second.idle, [&](const ConnectionPtr& c) { return c.get() == &connection; });
--- a/src/node/upstream.hpp
+++ b/src/node/upstream_pool.hpp
@@ -10,24 +10,25 @@
 #include <unordered_map>
 #include <vector>
 
+#include "config/config.hpp"
 #include "mothring/balancer.hpp"
-#include "node/config.hpp"
-#include "node/pipe.hpp"
+#include "net/body_buffer.hpp"
 
 namespace mothring::node {
 
 using ExchangeId = std::uint64_t;
 
-class Upstream {
+class UpstreamPool {
 public:
-    using Message = boost::beast::http::request<boost::beast::http::span_body<const char>>;
+    using RequestHead = boost::beast::http::request<boost::beast::http::span_body<const char>>;
     struct Request {
-        Message message;             // its head
-        std::shared_ptr<Pipe> body;  // none: it has none; else from its start, and perhaps yet to come
-        bool attempt = true;         // not a probe
+        RequestHead message;  // its head
+        std::shared_ptr<net::BodyBuffer>
+            body;             // none: it has none; else from its start, and perhaps yet to come
+        bool attempt = true;  // not a probe
         // Asked when its connection has come up, right before its first byte: completes the head by what is
         // known only then. False: it is not issued after all. None: it always is, as it stands.
-        std::function<bool(Message&)> may_begin = nullptr;
+        std::function<bool(RequestHead&)> may_begin = nullptr;
         // Asked before more of it is written after a wait for a server that didn't read. False: nothing more
         // goes out, and the exchange is to be stopped. None: all of it is to go out.
         std::function<bool()> still_wanted = nullptr;
@@ -35,10 +36,10 @@
     using Response = boost::beast::http::response<boost::beast::http::string_body>;
     using Head = boost::beast::http::response<boost::beast::http::empty_body>;
     // Called once, never from within start(); the response is whole where the outcome is `completed`.
-    using Done = std::function<void(Outcome, Response)>;
+    using OnEnded = std::function<void(Outcome, Response)>;
     // A 200 that is passed on as it comes: its head, and its body, which ends as Done tells. Without it an
     // answer that can't be kept whole is none.
-    using Begun = std::function<void(Head, std::shared_ptr<Pipe>)>;
+    using OnResponseStarted = std::function<void(Head, std::shared_ptr<net::BodyBuffer>)>;
 
     struct Limits {
         Millis connect_timeout = 250;
@@ -50,21 +51,22 @@
         Millis rest = 10;
     };
 
-    Upstream(boost::asio::io_context& io, Limits limits, std::shared_ptr<Budget> budget);
-    ~Upstream();
+    UpstreamPool(boost::asio::io_context& io, Limits limits, std::shared_ptr<net::BufferBudget> budget);
+    ~UpstreamPool();
 
     // Where the server listens; connections to another address, or to an earlier life, are not used again.
-    void set_server(ServerId server, const Tcp::endpoint& address, Millis started);
+    void set_server(ServerId server, const net::Tcp::endpoint& address, Millis started);
     void forget_server(ServerId server);
     void close_idle(ServerId server);
 
-    ExchangeId start(ServerId server, Request request, Done done, Begun begun = nullptr);
+    ExchangeId start(ServerId server, Request request, OnEnded on_ended,
+                     OnResponseStarted on_response_started = nullptr);
     // Stops waiting; Done is not called any more. False: the request was provably never written whole.
-    bool stop(ExchangeId exchange);
+    bool cancel(ExchangeId exchange);
     // Whether its first byte may have gone out.
-    bool begun(ExchangeId exchange) const;
+    bool may_have_started(ExchangeId exchange) const;
     // Whether its last byte has been handed to the kernel.
-    bool written(ExchangeId exchange) const;
+    bool is_written(ExchangeId exchange) const;
 
     struct Stats {
         std::size_t open = 0, opened = 0;
@@ -78,7 +80,7 @@
     class Connection;
     using ConnectionPtr = std::shared_ptr<Connection>;
     struct Server {
-        Tcp::endpoint address;
+        net::Tcp::endpoint address;
         Millis started = 0;
         std::uint64_t life = 0;
         std::vector<ConnectionPtr> idle;  // the most recently used last
@@ -87,13 +89,13 @@
     ConnectionPtr take_idle(Server& server);
     bool make_room();
     void drop_idle(Server& server);
-    void ended(ExchangeId exchange, const Done& done, Outcome outcome, Response response);
+    void ended(ExchangeId exchange, const OnEnded& on_ended, Outcome outcome, Response response);
     void reuse(const ConnectionPtr& connection);
     void remove(const Connection& connection);
 
     boost::asio::io_context& io_;
     Limits limits_;
-    std::shared_ptr<Budget> budget_;
+    std::shared_ptr<net::BufferBudget> budget_;
     std::unordered_map<ServerId, Server> servers_;
     std::unordered_map<ExchangeId, ConnectionPtr> exchanges_;
     ExchangeId next_exchange_ = 1;
--- a/src/wire/wire.hpp
+++ b/src/wire/wire.hpp
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "settings/site.hpp"
+#include "config/site.hpp"
 
 namespace mothring::wire {
 
--- a/tests/clock_step_test.cpp
+++ b/tests/clock_step_test.cpp
@@ -46,8 +46,8 @@
         std::string text = config_json(agent.address(), known);
         text = replaced(text, "\"warm-within-ms\":20000.0",
                         "\"warm-within-ms\":" + written_ms(slow_start_window));
-        Config config = read_config(text);
-        config.read_wall_clock = [this] { return read_system_clock() + step; };
+        config::Config config = config::read_config(text);
+        config.read_wall_clock = [this] { return net::read_system_clock() + step; };
         sidecar.emplace(io, std::move(config));
     }
     void start_with_warm_a() { start_stepped(started_list(41, true, {{listed_a, "0"}})); }
@@ -59,12 +59,12 @@
         until([&] { return agent.requests.size() > answered; });
     }
     // Where `stepped` holds, the machines of the servers and of discovery have been stepped too.
-    Millis wall(bool stepped = true) const { return read_system_clock() + (stepped ? step : 0); }
+    Millis wall(bool stepped = true) const { return net::read_system_clock() + (stepped ? step : 0); }
     std::string b_started(int version, Millis at) {
         return started_list(version, false, {{listed_b, written_ms(at)}});
     }
     void pass(Millis length) {
-        const auto end = std::chrono::steady_clock::now() + span(length);
+        const auto end = std::chrono::steady_clock::now() + net::span(length);
         until([&] { return std::chrono::steady_clock::now() >= end; });
     }
 
@@ -170,7 +170,7 @@
     start_with_warm_a();
     answer_watch(list_json(42, false, {}));
     ScriptedServer other(io, silence);
-    Config config = read_config(config_json(other.address(), list_json(41, true, {})));
+    config::Config config = config::read_config(config_json(other.address(), list_json(41, true, {})));
     sidecar->reconfigure(config);
     until([&] { return other.requests.size() == 1; });
     other.send(0, response("200 OK", b_started(43, wall() - kHour)));
@@ -202,7 +202,7 @@
         step = GetParam();
         until([&] { return !application.answers.empty(); });
         EXPECT_EQ(application.answers.at(0).result_int(), status);
-        return millis(std::chrono::steady_clock::now() - began);
+        return net::millis(std::chrono::steady_clock::now() - began);
     }
 };
 INSTANTIATE_TEST_SUITE_P(Each, StepsInTheMiddle, testing::Values(-kHour, kHour));
@@ -291,7 +291,8 @@
 }
 
 TEST(ServerStartTimes, WhatCannotBeRightIsTakenForJustNowAndToldOfOnce) {
-    for (const Millis wrong : {-5.0, 1e300, -1e300, std::nan(""), HUGE_VAL, kNow + kHour, kUnreadableStart}) {
+    for (const Millis wrong :
+         {-5.0, 1e300, -1e300, std::nan(""), HUGE_VAL, kNow + kHour, config::kUnreadableStart}) {
         ServerStartTimes times;
         const auto first = times.start_of("s", wrong, unwatched(kNow));
         EXPECT_EQ(first.at, kNow) << wrong;
--- a/tests/cluster_restart_test.cpp
+++ b/tests/cluster_restart_test.cpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "cluster/agent.hpp"
-#include "node/address.hpp"
+#include "net/address.hpp"
 
 namespace mothring::cluster::test {
 namespace {
@@ -38,14 +38,14 @@
         start("n2", any_port(), {tcp_of("n1")});
     }
 
-    static Udp::endpoint any_port() { return {asio::ip::address_v4::loopback(), 0}; }
+    static net::Udp::endpoint any_port() { return {asio::ip::address_v4::loopback(), 0}; }
     Agent& agent(const std::string& name) { return *agents.at(name); }
-    Tcp::endpoint tcp_of(const std::string& name) {
-        const Udp::endpoint address = agent(name).address();
+    net::Tcp::endpoint tcp_of(const std::string& name) {
+        const net::Udp::endpoint address = agent(name).address();
         return {address.address(), address.port()};
     }
     /// A life of that name; the one before it ends without a word. `clock_step`: of its wall clock, ms.
-    void start(const std::string& name, const Udp::endpoint& bind, std::vector<Tcp::endpoint> seeds,
+    void start(const std::string& name, const net::Udp::endpoint& bind, std::vector<net::Tcp::endpoint> seeds,
                Millis clock_step = 0) {
         agents.erase(name);
         Settings settings;
@@ -54,12 +54,12 @@
         settings.key = key;
         settings.parameters.period = kPeriod;
         agents[name] = std::make_unique<Agent>(io, std::move(settings), name, "1", Agent::Callbacks{},
-                                               node::Clock(clock_step));
+                                               net::Clock(clock_step));
     }
     /// Whether the condition comes to hold within so long (ms).
     template <class Condition>
     bool until(Condition holds, Millis limit) {
-        const auto end = std::chrono::steady_clock::now() + node::span(limit);
+        const auto end = std::chrono::steady_clock::now() + net::span(limit);
         while (!holds()) {
             if (std::chrono::steady_clock::now() >= end) return false;
             io.run_one_until(end);
@@ -106,7 +106,7 @@
 struct ClockSteps : RestartingMember, ::testing::WithParamInterface<Restarts> {};
 
 TEST_P(ClockSteps, DoNotKeepALaterLifeOutAtTheSameAddress) {
-    Udp::endpoint address = any_port();
+    net::Udp::endpoint address = any_port();
     Millis limit = kGatheringLimit;
     for (const Millis step : GetParam().clock_steps) {
         start(member, address, {tcp_of("n1")}, step);
@@ -130,7 +130,7 @@
 }
 
 TEST_P(ClockSteps, DoNotKeepALaterLifeOfTheSeedOut) {
-    Udp::endpoint address = any_port();
+    net::Udp::endpoint address = any_port();
     start(member, address, {}, GetParam().clock_steps.front());
     address = agent(member).address();
     start("n1", any_port(), {tcp_of(member)});
@@ -223,12 +223,12 @@
         return sequences.front();
     }
 
-    Udp::socket socket{io, any_port()};
+    net::Udp::socket socket{io, any_port()};
     Codec later{key, member, 5};  // smaller than the lives that are known
 };
 
 TEST_F(ScriptedMember, IsTakenFromItsAnswerToTheChallengeOnAndNotBefore) {
-    const std::string address = node::written(socket.local_endpoint());
+    const std::string address = net::written(socket.local_endpoint());
     const Bytes unproven = later.seal(introduction(address));
     const auto sequence = provoke_challenge();
     ASSERT_TRUE(sequence);
@@ -268,7 +268,7 @@
         ASSERT_TRUE(until([&] { return replayed() == before + sent + kAtOnce; }, kGatheringLimit));
         challenges += take_challenges().size();
     }
-    const Millis took = node::millis(std::chrono::steady_clock::now() - begun);
+    const Millis took = net::millis(std::chrono::steady_clock::now() - begun);
     EXPECT_GE(challenges, 1u);
     EXPECT_LE(static_cast<double>(challenges), 1 + took / kPeriod);
 }
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -140,15 +140,15 @@
 TEST_F(ClusterRig, StrayForgedReplayedAndTruncatedDatagramsAreCountedAndDropped) {
     gather(2, "period_ms = 200\n");
     const auto target =
-        *node::endpoint_of<Udp::endpoint>(lab->last_event(0, "sidecar.listening").value("cluster", ""));
+        *net::endpoint_of<net::Udp::endpoint>(lab->last_event(0, "sidecar.listening").value("cluster", ""));
     asio::io_context io;
-    Udp::socket stray(io, any_udp_port);
+    net::Udp::socket stray(io, any_udp_port);
     cluster::Codec wrong("not the fleet's shared key", "n9", 1), right(lab->cluster_key(), "n8", 1);
     cluster::Message join, evict;
     join.kind = evict.kind = cluster::Message::Kind::gossip;
     cluster::Claim n9, n2;
     n9.name = "n9";
-    n9.udp = n9.tcp = node::written(stray.local_endpoint());
+    n9.udp = n9.tcp = net::written(stray.local_endpoint());
     n2.name = "n2";
     n2.state = cluster::State::dead;
     n2.incarnation = 1ULL << 60;
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -14,7 +14,7 @@
         text = replaced(text, "\"connect-timeout-ms\":150.0", "\"connect-timeout-ms\":5000.0");
         if (!may_cancel) text = replaced(text, "\"may-cancel\":true", "\"may-cancel\":false");
         text = replaced(text, "\"dedup-window-ms\":3000.0", "\"dedup-window-ms\":" + std::to_string(window));
-        sidecar.emplace(io, read_config(text));
+        sidecar.emplace(io, config::read_config(text));
     }
     bool nothing_out() const { return sidecar->metrics().in_flight == 0; }
 };
@@ -129,13 +129,13 @@
         const std::string text =
             config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}}), sockets);
         const std::string deadline = ",\"give-up-ms\":" + std::to_string(longest) + ".0,\"credit\":3.0";
-        sidecar.emplace(io, read_config(replaced(text, ",\"credit\":3.0", deadline)));
+        sidecar.emplace(io, config::read_config(replaced(text, ",\"credit\":3.0", deadline)));
     }
     void drain() {
         sidecar->drain([&] { done = true; });
     }
     // The connection after its end was seen: what is written into it now.
-    static int error_after_writing(Tcp::socket& socket, const std::string& bytes) {
+    static int error_after_writing(net::Tcp::socket& socket, const std::string& bytes) {
         error_code error;
         asio::write(socket, asio::buffer(bytes), error);
         int pending = 0;
@@ -144,15 +144,15 @@
         return error ? error.value() : pending;
     }
     // One that has been served and rests.
-    Tcp::socket rested() {
-        Tcp::socket socket(io);
+    net::Tcp::socket rested() {
+        net::Tcp::socket socket(io);
         socket.connect(sidecar->address());
         asio::write(socket, asio::buffer(request("listen", "id-" + std::to_string(++requests_sent))));
         until([&] { return socket.available() > 0; });
         return socket;
     }
     // Its answer, still unread, then its end.
-    void expect_an_ordered_end(Tcp::socket& socket) {
+    void expect_an_ordered_end(net::Tcp::socket& socket) {
         const auto ended = [&] {
             pollfd look{socket.native_handle(), POLLRDHUP, 0};
             return ::poll(&look, 1, 0) > 0 && (look.revents & POLLRDHUP) != 0;
@@ -172,7 +172,7 @@
 // take an unread answer along; what is read after it is not sent on.
 TEST_F(Leaving, ARequestThatCrossesADrainsCloseMeetsAnOrderedEnd) {
     start_short(3000);
-    Tcp::socket resting = rested();
+    net::Tcp::socket resting = rested();
     drain();
     expect_an_ordered_end(resting);
     until([&] { return done; });
@@ -180,8 +180,8 @@
 }
 TEST_F(Leaving, ARequestThatCrossesAClosingForRoomMeetsAnOrderedEnd) {
     start_short(3000, "28");  // eight for clients and servers
-    Tcp::socket resting = rested();
-    std::list<Tcp::socket> others;
+    net::Tcp::socket resting = rested();
+    std::list<net::Tcp::socket> others;
     for (int i = 0; i < 3; ++i) others.push_back(rested());
     expect_an_ordered_end(resting);
     EXPECT_EQ(a.requests.size(), 4u);
@@ -265,7 +265,7 @@
 // with.
 TEST_F(Leaving, WhatWaitsInTheQueueIsTakenBeforeTheListenerCloses) {
     start_short(3000);
-    Tcp::socket resting = rested();
+    net::Tcp::socket resting = rested();
     // Nothing is under way while there are no descriptors: a sanitizer's checks of types need some.
     until([&] { return nothing_out(); });
     TestClient& queued = client();
@@ -289,7 +289,7 @@
     void start_asking() { start_asking({{"s-a", a.address()}}); }
     void start_asking(const std::vector<Listed>& known) {
         const std::string text = config_json(agent.address(), list_json(41, true, known));
-        sidecar.emplace(io, read_config(replaced(text, "\"pushed\"", "\"on_request\"")));
+        sidecar.emplace(io, config::read_config(replaced(text, "\"pushed\"", "\"on_request\"")));
     }
     // The longest from one call to the next, over as many.
     Steady::duration longest_gap(std::uint64_t most) {
@@ -410,7 +410,7 @@
         sidecar.reset();
         ScriptedServer old(io, silence), between(io, silence), moved(io, silence);
         const auto config = [&](const ScriptedServer& at) {
-            return read_config(
+            return config::read_config(
                 replaced(config_json(at.address(), list_json(41, true, {{"s-a", a.address()}})), "\"pushed\"",
                          "\"on_request\""));
         };
@@ -436,7 +436,7 @@
     start_asking();
     until([&] { return agent.requests.size() == 1 && sidecar->metrics().list.failing; });
     ScriptedServer moved(io, silence);
-    sidecar->reconfigure(read_config(
+    sidecar->reconfigure(config::read_config(
         replaced(config_json(moved.address(), list_json(41, true, {})), "\"pushed\"", "\"on_request\"")));
     until([&] { return moved.requests.size() == 1; });
     for (int i = 0; i < 3; ++i) ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
--- a/tests/deadline_test.cpp
+++ b/tests/deadline_test.cpp
@@ -9,14 +9,14 @@
 // By how much what a server is told may be over what is left to the client (the terms).
 constexpr Millis kSlack = 150;
 
-Millis since(Steady::time_point began) { return millis(Steady::now() - began); }
+Millis since(Steady::time_point began) { return net::millis(Steady::now() - began); }
 
 struct Deadline : NetRig {
     // Connections may come up late.
     void start_patient(const std::vector<Listed>& known) {
         const std::string text = config_json(agent.address(), list_json(41, true, known));
-        sidecar.emplace(
-            io, read_config(replaced(text, "\"connect-timeout-ms\":150.0", "\"connect-timeout-ms\":5000.0")));
+        sidecar.emplace(io, config::read_config(replaced(text, "\"connect-timeout-ms\":150.0",
+                                                         "\"connect-timeout-ms\":5000.0")));
     }
     void start_anew_with_silent_a() {
         sidecar.reset();
@@ -86,7 +86,7 @@
     HeldServer held(io);
     start_patient({{"s-held", held.address()}});
     const auto sent = Steady::now();
-    client().send(request("deposit", "id-1", 5000, std::string(Pipe::kMost + 2000, 'x')));
+    client().send(request("deposit", "id-1", 5000, std::string(net::BodyBuffer::kMost + 2000, 'x')));
     until([&] { return sidecar->records() == 1; });
     expect_late_and_within(held, 5000, sent);
 }
@@ -160,7 +160,7 @@
         sidecar.reset();
         a.requests.clear(), b.requests.clear(), agent.requests.clear();
         a.connections.clear(), b.connections.clear(), agent.connections.clear();
-        sidecar.emplace(io, read_config(text));
+        sidecar.emplace(io, config::read_config(text));
     }
     void expect_nothing_left() {
         until([&] { return sidecar->records() == 0 && sidecar->metrics().in_flight == 0; });
@@ -249,7 +249,8 @@
 // Begun in part, as its body is still coming: it never comes to its end, also where settings forbid to
 // withdraw what a server may have begun to work on.
 TEST_F(Departure, AnUploadThatBeganIsNotFinishedAfterItsClientHasLeft) {
-    const std::string whole = request("deposit", "id-1", 5000, std::string(Pipe::kMost + 2000, 'x'));
+    const std::string whole =
+        request("deposit", "id-1", 5000, std::string(net::BodyBuffer::kMost + 2000, 'x'));
     for (const bool finished : {false, true}) {  // its last byte comes, right before its client's end
         start_with({{"s-a", a.address()}}, false);
         TestClient& c = client();
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -7,7 +7,7 @@
 
 using Steady = std::chrono::steady_clock;
 
-Millis since(Steady::time_point began) { return millis(Steady::now() - began); }
+Millis since(Steady::time_point began) { return net::millis(Steady::now() - began); }
 void hold_up_until(Steady::time_point end) {
     while (Steady::now() < end) {
     }
@@ -27,7 +27,7 @@
     void start_short(const std::vector<Listed>& known) {
         std::string text = config_json(agent.address(), list_json(41, true, known));
         text = replaced(text, "\"connect-timeout-ms\":150.0", "\"connect-timeout-ms\":5000.0");
-        sidecar.emplace(io, read_config(short_deadlines(text)));
+        sidecar.emplace(io, config::read_config(short_deadlines(text)));
     }
     void drain() {
         sidecar->drain([&] { done = true; });
@@ -159,7 +159,7 @@
     drain();
     TestClient &c = client(), &upload = client();
     c.send(request("listen", "id-1", 5000));
-    upload.send(request("deposit", "id-2", 5000, std::string(Pipe::kMost + 2000, 'x')));
+    upload.send(request("deposit", "id-2", 5000, std::string(net::BodyBuffer::kMost + 2000, 'x')));
     until([&] { return c.ended && upload.ended; });
     EXPECT_LE(since(began), kKill);
     EXPECT_EQ(c.answers.size(), 1u);
@@ -200,7 +200,7 @@
                                                                    : Reply{};
                           }};
     ScriptedServer agent{io, [](const auto&) { return Reply{}; }};
-    Tcp::endpoint listen = Tcp::acceptor(io, any_port).local_endpoint();
+    net::Tcp::endpoint listen = net::Tcp::acceptor(io, any_port).local_endpoint();
     pid_t child = 0;
 
     ~Restart() override {
@@ -282,7 +282,7 @@
         return Reply{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"};
     };
     begin();
-    Tcp::socket old(io);
+    net::Tcp::socket old(io);
     old.connect(listen);
     asio::write(old, asio::buffer(replaced(request("listen", "id-1"), "HTTP/1.1", "HTTP/1.0")));
     run_until(io, [&] { return old.available() > 0; });
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -167,10 +167,10 @@
 TEST_F(FinalAnswer, AnAnswerBeforeTheRequestIsWholeIsTheOnlyOne) {
     const std::vector<std::string> replies{response("200 OK", "early"), response("500 Early"), ""};
     for (const std::string& reply : replies) {
-        Tcp::acceptor early(io, any_port);
-        std::list<Tcp::socket> taken;
+        net::Tcp::acceptor early(io, any_port);
+        std::list<net::Tcp::socket> taken;
         std::function<void()> accept = [&] {
-            early.async_accept([&](error_code failed, Tcp::socket socket) {
+            early.async_accept([&](error_code failed, net::Tcp::socket socket) {
                 if (failed) return;
                 taken.push_back(std::move(socket));
                 error_code ignored;
@@ -210,7 +210,7 @@
     start({{"s-a", a.address()}}, "48");  // twelve clients at a time
     for (int i = 0; i < 6; ++i) send(request("listen", "id-" + std::to_string(i), 600), 600);
     until([&] { return a.requests.size() == 6; });
-    std::list<Tcp::socket> crowd;
+    std::list<net::Tcp::socket> crowd;
     for (int i = 0; i < 60; ++i) {
         crowd.emplace_back(io).connect(sidecar->address());
         const std::string large = request("listen", "large");
@@ -224,11 +224,12 @@
 
 // All of the memory for bodies is taken by others whose bodies stand still.
 TEST_F(FinalAnswer, BodiesThatStandStillTakeNoAnswerAway) {
-    Config config = read_config(config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}})));
+    config::Config config =
+        config::read_config(config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}})));
     config.memory_mb = 1;  // 256 KiB for bodies: four of full size
     sidecar.emplace(io, std::move(config));
     a.script = [](const auto&) { return Reply{response("200 OK", std::string(60000, 'a'))}; };
-    std::list<Tcp::socket> still;
+    std::list<net::Tcp::socket> still;
     for (int i = 0; i < 100; ++i) {
         still.emplace_back(io).connect(sidecar->address());
         const std::string whole =
@@ -249,7 +250,7 @@
 // One client sends as much as it can without a pause; each of its requests fails slowly or fast.
 TEST_F(FinalAnswer, AFloodOfPipelinedRequestsKeepsNobodyWaiting) {
     start();
-    Tcp::socket flood(io);
+    net::Tcp::socket flood(io);
     flood.connect(sidecar->address());
     flood.non_blocking(true);
     const std::string many = times(request("listen", "flood"), 100);
@@ -274,7 +275,7 @@
 // work.
 class SidecarThread {
 public:
-    explicit SidecarThread(Config config)
+    explicit SidecarThread(config::Config config)
         : sidecar_(io_, std::move(config)), thread_([this] {
               while (!io_.stopped()) try {
                       io_.run();
@@ -303,7 +304,7 @@
         constexpr int kTurns = 4;
         for (int i = 0; i < kTurns; ++i) ask([](Sidecar&) {});
     }
-    Tcp::endpoint address() const { return sidecar_.address(); }
+    net::Tcp::endpoint address() const { return sidecar_.address(); }
 
     std::atomic<int> thrown = 0;  // exceptions that reached the loop
 
@@ -357,8 +358,8 @@
         }
         return lost;
     }
-    Config config() const {
-        return read_config(
+    config::Config config() const {
+        return config::read_config(
             config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}, {"s-b", b.address()}})));
     }
 };
@@ -401,10 +402,10 @@
     constexpr long kSteps = 40;  // more than taking a call needs
     const std::string call = "GET /ready HTTP/1.1\r\nHost: operator\r\n\r\n";
     for (long nth = 0; nth < kSteps; ++nth) {
-        Config config = this->config();
+        config::Config config = this->config();
         config.operators = any_port;
         SidecarThread sidecar(std::move(config));
-        const Tcp::endpoint address = *sidecar.ask([](Sidecar& s) { return s.operator_address(); });
+        const net::Tcp::endpoint address = *sidecar.ask([](Sidecar& s) { return s.operator_address(); });
         sidecar.settle();
         sidecar.ask([&](Sidecar&) { allocations_left = nth; });
         TestClient first(io, address);
--- a/tests/front_failure_test.cpp
+++ b/tests/front_failure_test.cpp
@@ -5,9 +5,9 @@
 #include <new>
 #include <thread>
 
+#include "net/clock.hpp"
 #include "net_rig.hpp"
-#include "node/clock.hpp"
-#include "node/front.hpp"
+#include "node/downstream_listener.hpp"
 #include "system_call_faults.hpp"
 
 namespace mothring::node::test {
@@ -25,22 +25,23 @@
 struct FrontFailure : testing::Test {
     asio::io_context io;
     SystemCallFaults faults;
-    std::shared_ptr<Budget> budget = std::make_shared<Budget>(Budget{1 << 20});
-    std::vector<Front::Arrival> arrivals;
+    std::shared_ptr<net::BufferBudget> budget =
+        std::make_shared<net::BufferBudget>(net::BufferBudget{1 << 20});
+    std::vector<DownstreamListener::IncomingRequest> arrivals;
     std::size_t gone = 0;
     bool no_memory = false;
     int thrown = 0;  // exceptions that reached the loop
-    Front front{io, any_port, 16, false, budget, callbacks()};
+    DownstreamListener front{io, any_port, 16, false, budget, callbacks()};
 
-    Front::Callbacks callbacks() {
-        Front::Callbacks made;
-        made.arrived = [this](Front::Arrival arrival) {
+    DownstreamListener::Callbacks callbacks() {
+        DownstreamListener::Callbacks made;
+        made.on_request = [this](DownstreamListener::IncomingRequest arrival) {
             if (no_memory) throw std::bad_alloc();
             arrivals.push_back(std::move(arrival));
         };
-        made.whole = [](RequestId) {};
-        made.gone = [this](RequestId) { ++gone; };
-        made.left = [](RequestId, bool) {};
+        made.on_body_complete = [](RequestId) {};
+        made.on_client_disconnected = [this](RequestId) { ++gone; };
+        made.on_response_ended = [](RequestId, bool) {};
         return made;
     }
     /// The loop goes on after an exception, as the program's does.
@@ -52,12 +53,13 @@
                 ++thrown;
             }
     }
-    std::shared_ptr<Pipe> stream_to_first(const std::string& body) {
-        auto pipe = std::make_shared<Pipe>(budget, body.size());
+    std::shared_ptr<net::BodyBuffer> stream_to_first(const std::string& body) {
+        auto pipe = std::make_shared<net::BodyBuffer>(budget, body.size());
         EXPECT_GE(pipe->room(), body.size());
         body.copy(pipe->space(), body.size());
         pipe->added(body.size());
-        front.stream(arrivals.at(0).id, Front::Head(http::status::ok, 11), pipe);
+        front.stream_response(arrivals.at(0).id, DownstreamListener::ResponseHead(http::status::ok, 11),
+                              pipe);
         return pipe;
     }
     void expect_ended(const TestClient& client) {
@@ -65,17 +67,17 @@
         EXPECT_TRUE(client.ended);
         EXPECT_EQ(thrown, 1);
         EXPECT_EQ(gone, 1u);
-        EXPECT_EQ(front.clients(), 0u);
+        EXPECT_EQ(front.connection_count(), 0u);
     }
 };
 
 // The loop is held up, and the rest of a request comes right before the timer's handler, which reads it.
 TEST_F(FrontFailure, NoMemoryAsTheTimeOfARequestRunsOut_endsItsConnection) {
     const std::string whole = request("listen", "id-1");
-    asio::steady_timer before_it(io, SteadyClock::now() + span(kFirstRequest));
+    asio::steady_timer before_it(io, SteadyClock::now() + net::span(kFirstRequest));
     TestClient client(io, front.address());
-    until([&] { return front.clients() == 1; });
-    const auto limit = SteadyClock::now() + span(kFirstRequest);
+    until([&] { return front.connection_count() == 1; });
+    const auto limit = SteadyClock::now() + net::span(kFirstRequest);
     client.send(whole.substr(0, 40));
     before_it.async_wait([&](error_code) { client.send(whole.substr(40)); });
     until([&] { return SteadyClock::now() > limit - std::chrono::milliseconds(100); });
@@ -123,10 +125,10 @@
         faults.fail(SystemCall::receive, 0, 0, at_front);
         client.send(request("listen", "id-2", kTimeout));
         until([&] { return faults.made(SystemCall::receive) > 0; });  // the front's look at it
-        const auto stood = SteadyClock::now() + span(kStood);
+        const auto stood = SteadyClock::now() + net::span(kStood);
         until([&] { return SteadyClock::now() > stood; });
         faults.fail(SystemCall::receive, EINTR, times, at_front);
-        front.answer(arrivals[0].id, Front::Answer(http::status::ok, 11));
+        front.respond(arrivals[0].id, DownstreamListener::Response(http::status::ok, 11));
         until([&] { return arrivals.size() == 2; });
         EXPECT_EQ(faults.failed(SystemCall::receive), times);
         EXPECT_LE(arrivals.back().time_left, kTimeout - kStood) << times;
--- a/tests/held_server.hpp
+++ b/tests/held_server.hpp
@@ -15,19 +15,19 @@
 // what asks for one, which then asks again.
 class HeldServer {
 public:
-    explicit HeldServer(asio::io_context& io) : acceptor_(io, Tcp::v4()) {
+    explicit HeldServer(asio::io_context& io) : acceptor_(io, net::Tcp::v4()) {
         acceptor_.bind(any_port);
         acceptor_.listen(0);
         acceptor_.non_blocking(true);
         for (int i = 0; i < 4; ++i) {  // one more than it holds, and those that wait for room in vain
-            filling_.emplace_back(io, Tcp::v4());
+            filling_.emplace_back(io, net::Tcp::v4());
             filling_.back().async_connect(acceptor_.local_endpoint(), [](error_code) {});
         }
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
     // Its queue is emptied, and whoever comes from now on is taken and read from.
     void let_go() {
-        for (Tcp::socket& s : filling_) ports_.push_back(port_of(s));
+        for (net::Tcp::socket& s : filling_) ports_.push_back(port_of(s));
         accept();
     }
     // What came on connections that are not its own.
@@ -35,12 +35,12 @@
     std::size_t came = 0, ended = 0;
 
 private:
-    static std::uint16_t port_of(const Tcp::socket& socket) {
+    static std::uint16_t port_of(const net::Tcp::socket& socket) {
         error_code none;
         return socket.local_endpoint(none).port();
     }
     void accept() {
-        acceptor_.async_accept([this](error_code failed, Tcp::socket socket) {
+        acceptor_.async_accept([this](error_code failed, net::Tcp::socket socket) {
             if (failed) return;
             error_code gone;
             const auto from = socket.remote_endpoint(gone).port();
@@ -52,7 +52,7 @@
             accept();
         });
     }
-    void read(Tcp::socket& socket) {
+    void read(net::Tcp::socket& socket) {
         socket.async_read_some(asio::buffer(piece_), [this, &socket](error_code failed, std::size_t count) {
             if (failed == asio::error::operation_aborted) return;
             if (failed) return void(++ended);
@@ -62,8 +62,8 @@
             read(socket);
         });
     }
-    Tcp::acceptor acceptor_;
-    std::list<Tcp::socket> filling_, taken_;
+    net::Tcp::acceptor acceptor_;
+    std::list<net::Tcp::socket> filling_, taken_;
     std::vector<std::uint16_t> ports_;
     std::array<char, 4096> piece_{};
 };
--- a/tests/hot_restart_lock_test.cpp
+++ b/tests/hot_restart_lock_test.cpp
@@ -244,9 +244,9 @@
 
 // Beside another process everything that is limited is halved, and no longer once it is gone.
 TEST_F(NetRig, BesideAnotherProcessItTakesHalf) {
-    Tcp::endpoint listen = Tcp::acceptor(io, any_port).local_endpoint();
-    Config config =
-        read_config(config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}}), "40"));
+    net::Tcp::endpoint listen = net::Tcp::acceptor(io, any_port).local_endpoint();
+    config::Config config =
+        config::read_config(config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}}), "40"));
     config.listen = listen;
     config.operators = any_port;
     sidecar.emplace(io, config);
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -60,13 +60,13 @@
     discovery.put({{"s-a", "hall-a"}});
     for (const Millis step : {-3600000.0, 5000.0, 3600000.0}) {
         discovery.step_clocks(step);
-        const Millis before = node::read_system_clock();
+        const Millis before = net::read_system_clock();
         discovery.restarted("s-a");
         const auto list = Json::parse(discovery.list("n1"));
         const Millis started = list["servers"][0]["started_ms"].get<Millis>();
         discovery.step_clocks(-step);
         EXPECT_GE(started, std::floor(before + step));
-        EXPECT_LE(started, node::read_system_clock() + step);
+        EXPECT_LE(started, net::read_system_clock() + step);
     }
 }
 
@@ -91,7 +91,7 @@
     for (const auto& [text, expected] : cases) try {
             read_scenario(text, "s.toml");
             ADD_FAILURE() << "taken: " << text;
-        } catch (const node::ConfigError& error) {
+        } catch (const config::ConfigError& error) {
             EXPECT_NE(std::string(error.what()).find(expected), std::string::npos) << error.what();
         }
 }
@@ -111,8 +111,8 @@
 struct RelayTest : testing::Test {
     asio::io_context io;
     Relay relay{1};
-    Tcp::acceptor server{io, any_tcp_port};
-    Tcp::endpoint link = relay.tcp_link("n1", "s1", server.local_endpoint());
+    net::Tcp::acceptor server{io, any_tcp_port};
+    net::Tcp::endpoint link = relay.tcp_link("n1", "s1", server.local_endpoint());
 
     bool until(const std::function<bool()>& reached,
                std::chrono::milliseconds limit = std::chrono::seconds(8)) {
@@ -132,7 +132,7 @@
 };
 
 TEST_F(RelayTest, ACutLinkIsSilentKeepsWhatWasSentAndTakesNoNewConnection) {
-    Tcp::socket near(io), far(io), late(io);
+    net::Tcp::socket near(io), far(io), late(io);
     near.connect(link);
     server.accept(far);
     const auto rule = cut(true);
@@ -142,8 +142,8 @@
     asio::async_read(far, asio::buffer(got), [&](error_code failed, std::size_t) { arrived = !failed; });
     late.async_connect(link, [&](error_code failed) { connected = !failed; });
     // A link that is not cut passes a whole exchange meanwhile; the cut one nothing.
-    Tcp::socket other_near(io), other_far(io);
-    const Tcp::endpoint other = relay.tcp_link("n3", "s1", server.local_endpoint());
+    net::Tcp::socket other_near(io), other_far(io);
+    const net::Tcp::endpoint other = relay.tcp_link("n3", "s1", server.local_endpoint());
     other_near.connect(other);
     server.accept(other_far);
     asio::write(other_near, asio::buffer("pass", 4));
@@ -157,7 +157,7 @@
 }
 
 TEST_F(RelayTest, ANodeThatIsDownRefusesAndResetsAndComesBackAtItsAddress) {
-    Tcp::socket near(io), far(io);
+    net::Tcp::socket near(io), far(io);
     near.connect(link);
     server.accept(far);
     relay.set_refused("s1", true);
@@ -165,23 +165,23 @@
     error_code failed;
     near.read_some(asio::buffer(&byte, 1), failed);
     EXPECT_EQ(failed, asio::error::connection_reset);
-    Tcp::socket refused(io);
+    net::Tcp::socket refused(io);
     refused.connect(link, failed);
     EXPECT_EQ(failed, asio::error::connection_refused);
     relay.set_refused("s1", false);
-    Tcp::socket again(io), accepted(io);
+    net::Tcp::socket again(io), accepted(io);
     again.connect(link);
     server.accept(accepted);
     EXPECT_TRUE(accepted.is_open());
 }
 
 TEST_F(RelayTest, DatagramsComeFromTheSendersLinkAndAOneWayCutStopsOneWay) {
-    Udp::socket a(io, any_udp_port), b(io, any_udp_port);
-    const Udp::endpoint to_b = relay.udp_link("n1", "n2"), to_a = relay.udp_link("n2", "n1");
+    net::Udp::socket a(io, any_udp_port), b(io, any_udp_port);
+    const net::Udp::endpoint to_b = relay.udp_link("n1", "n2"), to_a = relay.udp_link("n2", "n1");
     relay.set_peer_address("n1", a.local_endpoint());
     relay.set_peer_address("n2", b.local_endpoint());
     std::array<char, 8> buffer{};
-    Udp::endpoint from;
+    net::Udp::endpoint from;
     a.send_to(asio::buffer("ping", 4), to_b);
     EXPECT_EQ(b.receive_from(asio::buffer(buffer), from), 4u);
     EXPECT_EQ(from, to_a);  // as b knows a
--- a/tests/log_output_test.cpp
+++ b/tests/log_output_test.cpp
@@ -7,8 +7,8 @@
 #include <cerrno>
 #include <string_view>
 
+#include "net/log.hpp"
 #include "net_rig.hpp"
-#include "node/log.hpp"
 #include "system_call_faults.hpp"
 
 namespace mothring::node::test {
@@ -27,7 +27,7 @@
     faults.fail(SystemCall::poll, EINTR, 1);
     {
         const NoDescriptors none;
-        log(spdlog::level::warn, "test.line");
+        net::log(spdlog::level::warn, "test.line");
     }
     std::array<char, 256> piece{};
     const ssize_t size = ::read(ends[0], piece.data(), piece.size());
--- a/tests/net_rig.hpp
+++ b/tests/net_rig.hpp
@@ -63,7 +63,7 @@
     return text.replace(at, what.size(), by);
 }
 
-inline const Tcp::endpoint any_port(asio::ip::address_v4::loopback(), 0);
+inline const net::Tcp::endpoint any_port(asio::ip::address_v4::loopback(), 0);
 
 // What a scripted server does about a request: bytes to send, then perhaps the end of the connection.
 struct Reply {
@@ -82,21 +82,21 @@
     using Request = http::request<http::string_body>;
     using Script = std::function<Reply(const Request&)>;
     struct Connection {
-        explicit Connection(Tcp::socket s) : socket(std::move(s)) {}
-        Tcp::socket socket;
+        explicit Connection(net::Tcp::socket s) : socket(std::move(s)) {}
+        net::Tcp::socket socket;
         boost::beast::flat_buffer buffer;
         std::optional<http::request_parser<http::string_body>> parser;
         std::size_t requests = 0;
         bool ended = false;  // by the other side
     };
 
-    ScriptedServer(asio::io_context& io, Script script, const Tcp::endpoint& at = any_port)
+    ScriptedServer(asio::io_context& io, Script script, const net::Tcp::endpoint& at = any_port)
         : script(std::move(script)), acceptor_(io, at) {
         accept();
     }
     ~ScriptedServer() { close(); }
 
-    Tcp::endpoint endpoint() const { return address_; }
+    net::Tcp::endpoint endpoint() const { return address_; }
     std::string address() const { return "127.0.0.1:" + std::to_string(address_.port()); }
     // Stops listening and ends all connections.
     void close() {
@@ -119,7 +119,7 @@
 
 private:
     void accept() {
-        acceptor_.async_accept([this](error_code failed, Tcp::socket socket) {
+        acceptor_.async_accept([this](error_code failed, net::Tcp::socket socket) {
             if (failed) return;
             connections.push_back(std::make_shared<Connection>(std::move(socket)));
             read(connections.back());
@@ -148,15 +148,15 @@
         });
     }
 
-    Tcp::acceptor acceptor_;
-    Tcp::endpoint address_ = acceptor_.local_endpoint();
+    net::Tcp::acceptor acceptor_;
+    net::Tcp::endpoint address_ = acceptor_.local_endpoint();
 };
 
 // The application: one connection, what came back on it, and whether it was ended.
 class TestClient {
 public:
     using Answer = http::response<http::string_body>;
-    TestClient(asio::io_context& io, const Tcp::endpoint& address) : socket_(io) {
+    TestClient(asio::io_context& io, const net::Tcp::endpoint& address) : socket_(io) {
         socket_.connect(address);
         read();
     }
@@ -192,7 +192,7 @@
         std::optional<http::response_parser<http::string_body>> parser;
         bool live = true;
     };
-    Tcp::socket socket_;
+    net::Tcp::socket socket_;
     std::shared_ptr<State> state_ = std::make_shared<State>();
 };
 
@@ -250,10 +250,12 @@
     }
     void start(std::vector<Listed> known = {}, const std::string& sockets = "1024") {
         if (known.empty()) known = {{"s-a", a.address()}, {"s-b", b.address()}};
-        sidecar.emplace(io, read_config(config_json(agent.address(), list_json(41, true, known), sockets)));
+        sidecar.emplace(
+            io, config::read_config(config_json(agent.address(), list_json(41, true, known), sockets)));
     }
     void start_with_operators(const std::vector<Listed>& known, const std::string& sockets = "1024") {
-        Config config = read_config(config_json(agent.address(), list_json(41, true, known), sockets));
+        config::Config config =
+            config::read_config(config_json(agent.address(), list_json(41, true, known), sockets));
         config.operators = any_port;
         sidecar.emplace(io, std::move(config));
     }
--- a/tests/program_rig.hpp
+++ b/tests/program_rig.hpp
@@ -27,15 +27,15 @@
 
     // A port for the program to listen on, kept until the test's end from all others who ask the system for
     // one: it is bound here as well, and listened on only by the program.
-    Tcp::endpoint free_address() {
-        Tcp::acceptor& port = ports.emplace_back(ports_io, any_port.protocol());
+    net::Tcp::endpoint free_address() {
+        net::Tcp::acceptor& port = ports.emplace_back(ports_io, any_port.protocol());
         port.set_option(asio::socket_base::reuse_address(true));
         port.set_option(asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
         port.bind(any_port);
         return port.local_endpoint();
     }
     asio::io_context ports_io;
-    std::list<Tcp::acceptor> ports;
+    std::list<net::Tcp::acceptor> ports;
 
     // Starts the program with its log in a file.
     pid_t start(const std::string& config, const std::string& log = "log") {
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 #include <utility>
 
-#include "node/options.hpp"
+#include "config/options.hpp"
 #include "program_rig.hpp"
 
 namespace mothring::node::test {
@@ -18,7 +18,7 @@
     config_json("127.0.0.1:9", list_json(41, true, {{"s-a", "127.0.0.1:9", "Terminating"}}));
 
 TEST(Configuration, IsReadWithItsSettings) {
-    const Config config = read_config(good);
+    const config::Config config = config::read_config(good);
     EXPECT_EQ(config.name, "n1");
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
     EXPECT_EQ(config.discovery.port(), 9);
@@ -47,12 +47,12 @@
         {replaced(good, "\"on-time-ms\":300.0", "\"on-time-ms\":\"soon\""), "classes.1.on-time-ms"},
         {replaced(good, "\"settings\"", "\"unsettled\""), "settings"}};
     for (const auto& [text, key] : cases) try {
-            read_config(text);
+            config::read_config(text);
             FAIL() << "taken: " << key;
-        } catch (const ConfigError& error) {
+        } catch (const config::ConfigError& error) {
             EXPECT_NE(std::string(error.what()).find("'" + key + "'"), std::string::npos) << error.what();
         }
-    EXPECT_THROW(read_config("{\"name\""), ConfigError);
+    EXPECT_THROW(config::read_config("{\"name\""), config::ConfigError);
 }
 
 TEST(Options, NameTheKeyTheLineAndTheExpectedType) {
@@ -71,19 +71,19 @@
         {"log = 1\n", "o.toml:1: 'log' expects a table"},
         {"[log\n", "o.toml:1: "}};
     for (const auto& [text, expected] : cases) try {
-            read_options(text, "o.toml");
+            config::read_options(text, "o.toml");
             FAIL() << "taken: " << text;
-        } catch (const ConfigError& error) {
+        } catch (const config::ConfigError& error) {
             EXPECT_EQ(std::string(error.what()).rfind(expected, 0), 0u) << error.what();
         }
-    const Options options = read_options(
+    const config::Options options = config::read_options(
         "[platform]\nconfig = \"lb.json\"\n[sidecar]\noperator = \"127.0.0.1:7\"\n[log]\nlevel = \"debug\"\n",
         "/etc/mothring/o.toml");
     EXPECT_EQ(options.platform_config, std::filesystem::path("/etc/mothring/lb.json"));
     ASSERT_TRUE(options.operators);
     EXPECT_EQ(options.operators->port(), 7);
-    EXPECT_EQ(options.log_level, LogLevel::debug);
-    EXPECT_EQ(read_options("", "o.toml").log_level, LogLevel::info);  // absent: today's
+    EXPECT_EQ(options.log_level, net::LogLevel::debug);
+    EXPECT_EQ(config::read_options("", "o.toml").log_level, net::LogLevel::info);  // absent: today's
 }
 
 TEST_F(Program, EndsWithOneLineWhenItsConfigurationIsWrong) {
@@ -109,7 +109,7 @@
     asio::io_context io;
     ScriptedServer server{io, [](const auto&) { return Reply{response("200 OK", "served")}; }};
     ScriptedServer agent{io, [](const auto&) { return Reply{}; }};
-    Tcp::endpoint listen = free_address();
+    net::Tcp::endpoint listen = free_address();
     std::vector<pid_t> children;
 
     ~Upgrade() override {
@@ -118,11 +118,13 @@
     }
     struct Process {
         std::size_t index;
-        Tcp::endpoint operators;
+        net::Tcp::endpoint operators;
     };
     Process begin(const std::string& log = "log") {
-        const Tcp::endpoint operators = free_address();
-        const auto text = [](const Tcp::endpoint& at) { return "127.0.0.1:" + std::to_string(at.port()); };
+        const net::Tcp::endpoint operators = free_address();
+        const auto text = [](const net::Tcp::endpoint& at) {
+            return "127.0.0.1:" + std::to_string(at.port());
+        };
         children.push_back(
             start(replaced(config_json(agent.address(), list_json(1, true, {{"s-a", server.address()}}),
                                        "1024", text(listen)),
@@ -254,9 +256,9 @@
 // Discovery is down while idle clients, who never go by themselves, take all that clients may have, some with
 // bytes of a further request that stay unread. The process is held to the descriptors that it was told of.
 TEST_F(Upgrade, IdleClientsTakeNoDescriptorFromDiscoveryOrNewcomers) {
-    const Tcp::endpoint discovery = agent.endpoint(), operators = free_address();
+    const net::Tcp::endpoint discovery = agent.endpoint(), operators = free_address();
     agent.close();
-    const auto text = [](const Tcp::endpoint& at) { return "127.0.0.1:" + std::to_string(at.port()); };
+    const auto text = [](const net::Tcp::endpoint& at) { return "127.0.0.1:" + std::to_string(at.port()); };
     children.push_back(start(replaced(
         config_json(text(discovery), list_json(1, true, {{"s-a", server.address()}}), "256", text(listen)),
         "\"future\":[1]", "\"operator\":\"" + text(operators) + "\"")));
@@ -264,7 +266,7 @@
     run_until(io, [&] { return status(process, "/ready") == 200; });
     const rlimit limit{256, 256};
     ASSERT_EQ(::prlimit(children[0], RLIMIT_NOFILE, &limit, nullptr), 0);
-    std::list<Tcp::socket> idle;
+    std::list<net::Tcp::socket> idle;
     for (int i = 0; i < 300; ++i) {
         idle.emplace_back(io).connect(listen);
         const std::string whole = request("listen", "id-" + std::to_string(i));
@@ -295,7 +297,7 @@
 }
 
 TEST_F(Upgrade, AnOperatorAddressThatCannotBeHadIsSaidAtTheStart) {
-    Tcp::acceptor taken(io, any_port);
+    net::Tcp::acceptor taken(io, any_port);
     EXPECT_EQ(status_of(start(replaced(
                   good, "\"future\":[1]",
                   "\"operator\":\"127.0.0.1:" + std::to_string(taken.local_endpoint().port()) + "\""))),
@@ -310,7 +312,7 @@
 TEST_F(Program, FinishesItsWorkOnSigtermAndExitsWithZero) {
     asio::io_context io;
     ScriptedServer server(io, [](const auto&) { return Reply{}; });
-    const Tcp::endpoint listen = free_address();
+    const net::Tcp::endpoint listen = free_address();
     const pid_t child = start(config_json(server.address(), list_json(1, true, {{"s-a", server.address()}}),
                                           "1024", "127.0.0.1:" + std::to_string(listen.port())));
     std::optional<TestClient> client;
@@ -369,12 +371,12 @@
 TEST_F(Program, ASignalRightAfterItListensIsNotItsEnd) {
     asio::io_context io;
     ScriptedServer agent(io, [](const auto&) { return Reply{}; });
-    const Tcp::endpoint listen = free_address();
+    const net::Tcp::endpoint listen = free_address();
     const pid_t child = start_with(config_json(agent.address(), list_json(1, true, {}), "1024",
                                                "127.0.0.1:" + std::to_string(listen.port())),
                                    [] { return ::ptrace(PTRACE_TRACEME, 0, nullptr, nullptr) == 0; });
     ASSERT_TRUE(runs_until_it_listens(child));
-    Tcp::socket client(io);
+    net::Tcp::socket client(io);
     client.connect(listen);
     ::kill(child, SIGHUP);
     ::kill(child, SIGTERM);
@@ -391,7 +393,7 @@
     asio::io_context io;
     ScriptedServer server{io, [](const auto&) { return Reply{response("200 OK", "served")}; }};
     ScriptedServer agent{io, [](const auto&) { return Reply{}; }};
-    const Tcp::endpoint listen = free_address();
+    const net::Tcp::endpoint listen = free_address();
     std::array<int, 2> ends{-1, -1};  // the reader's, and the program's
     pid_t child = -1;
 
@@ -556,7 +558,7 @@
     asio::io_context io;
     ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK", "served")}; });
     ScriptedServer first(io, [](const auto&) { return Reply{}; }), second(io, first.script);
-    const Tcp::endpoint listen = free_address();
+    const net::Tcp::endpoint listen = free_address();
     const auto config = [&](const ScriptedServer& discovery) {
         return config_json(discovery.address(), list_json(1, true, {{"s-a", server.address()}}), "1024",
                            "127.0.0.1:" + std::to_string(listen.port()));
