--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -251,7 +251,7 @@
     ScriptedServer moved(io, silence);
     start();
     until([&] { return watched_from("41"); });
-    Config config = read_config(config_json(moved.address(), list_json(41, true, {})));
+    config::Config config = config::read_config(config_json(moved.address(), list_json(41, true, {})));
     sidecar->reconfigure(config);
     until([&] { return moved.requests.size() == 1 && agent.ended() == 1; });
     EXPECT_NE(moved.requests[0].target().find("from=41&"), boost::beast::string_view::npos);
@@ -272,7 +272,7 @@
     const auto config = [&](const std::string& discovery) {
         std::string text = config_json(discovery, list_json(41, true, {{"s-a", a.address()}}));
         const std::string pushed = "\"pushed\"";
-        return read_config(text.replace(text.find(pushed), pushed.size(), "\"on_request\""));
+        return config::read_config(text.replace(text.find(pushed), pushed.size(), "\"on_request\""));
     };
     sidecar.emplace(io, config(agent.address()));
     until([&] { return watched_from("41"); });
@@ -480,8 +480,8 @@
 
 TEST(Peers, MessagesComeFromPeersAndAreShort) {
     asio::io_context io;
-    const Udp::endpoint any(asio::ip::address_v4::loopback(), 0);
-    Udp::socket one(io, any), stranger(io, any);
+    const net::Udp::endpoint any(asio::ip::address_v4::loopback(), 0);
+    net::Udp::socket one(io, any), stranger(io, any);
     std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> got;
     Peers two(
         io, any, {one.local_endpoint()}, std::nullopt,
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -14,8 +14,8 @@
 
 // A peer that reads and writes bytes as the test says, in one io_context with what is tested.
 struct RawPeer {
-    explicit RawPeer(Tcp::socket s) : socket(std::move(s)) { socket.non_blocking(true); }
-    RawPeer(asio::io_context& io, const Tcp::endpoint& address) : socket(io) {
+    explicit RawPeer(net::Tcp::socket s) : socket(std::move(s)) { socket.non_blocking(true); }
+    RawPeer(asio::io_context& io, const net::Tcp::endpoint& address) : socket(io) {
         socket.connect(address);
         socket.non_blocking(true);
     }
@@ -37,7 +37,7 @@
         if (error && error != asio::error::would_block && !std::exchange(ended, true)) this->error = error;
     }
     void turn() { write(), read(); }
-    Tcp::socket socket;
+    net::Tcp::socket socket;
     std::string in, out;
     std::size_t sent = 0;  // of `out`
     bool ended = false;
@@ -46,11 +46,11 @@
 
 struct Stream : NetRig {
     // In place of server a: whatever connects there, for the test to play.
-    Tcp::acceptor raw{io, any_port};
+    net::Tcp::acceptor raw{io, any_port};
     std::list<RawPeer> servers;
     std::string raw_address() const { return "127.0.0.1:" + std::to_string(raw.local_endpoint().port()); }
     void accept() {
-        raw.async_accept([this](error_code failed, Tcp::socket socket) {
+        raw.async_accept([this](error_code failed, net::Tcp::socket socket) {
             if (failed) return;
             servers.emplace_back(std::move(socket));
             accept();
@@ -58,8 +58,8 @@
     }
     void start_raw(const std::string& memory = "192") {
         accept();
-        Config config =
-            read_config(config_json(agent.address(), list_json(41, true, {{"s-raw", raw_address()}})));
+        config::Config config = config::read_config(
+            config_json(agent.address(), list_json(41, true, {{"s-raw", raw_address()}})));
         config.memory_mb = std::stoul(memory);
         config.operators = any_port;
         sidecar.emplace(io, std::move(config));
@@ -188,7 +188,7 @@
         before = all;
         return same > 100;
     });
-    EXPECT_LE(sidecar->buffered(), (2u << 20) + count * Pipe::kLeast);
+    EXPECT_LE(sidecar->buffered(), (2u << 20) + count * net::BodyBuffer::kLeast);
     EXPECT_LT(before, count * size / 2) << "the kernel's buffers are far smaller than that";
     // Others are served meanwhile.
     EXPECT_EQ(ask("GET /_health HTTP/1.1\r\n\r\n").result_int(), 200u);
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -13,8 +13,8 @@
 #include <fstream>
 
 #include "cluster/agent.hpp"
+#include "net/clock.hpp"
 #include "net_rig.hpp"
-#include "node/clock.hpp"
 #include "node/discovery.hpp"
 #include "node/peers.hpp"
 #include "program_path.hpp"
@@ -63,20 +63,22 @@
 // ---- Connections to servers -------------------------------------------------------------------------------
 
 struct ConnectingOut : SystemCalls {
-    std::optional<Upstream> upstream;
+    std::optional<UpstreamPool> upstream;
     std::vector<Outcome> outcomes;
 
     ConnectingOut() {
-        upstream.emplace(io, Upstream::Limits{}, std::make_shared<Budget>(Budget{16 << 20}));
+        upstream.emplace(io, UpstreamPool::Limits{},
+                         std::make_shared<net::BufferBudget>(net::BufferBudget{16 << 20}));
         upstream->set_server(kServer, a.endpoint(), 0);
     }
     Outcome one() {
-        Upstream::Request request;
+        UpstreamPool::Request request;
         request.message.method(http::verb::post);
         request.message.target("/deposit");
         const std::size_t before = outcomes.size();
-        upstream->start(kServer, std::move(request),
-                        [this](Outcome outcome, const Upstream::Response&) { outcomes.push_back(outcome); });
+        upstream->start(kServer, std::move(request), [this](Outcome outcome, const UpstreamPool::Response&) {
+            outcomes.push_back(outcome);
+        });
         until([&] { return outcomes.size() > before; });
         return outcomes.empty() ? Outcome::cancelled : outcomes.back();
     }
@@ -213,8 +215,8 @@
 // The look at its connection right before the first byte of an attempt is interrupted, and is made again.
 // Beside another process one without a list begins to listen when it has one.
 TEST_F(SystemCalls, NoSocketForTheListener_isAskedForAgain) {
-    Config config = read_config(config_json(agent.address(), list_json(41, true, {})));
-    config.listen = Tcp::acceptor(io, any_port).local_endpoint();
+    config::Config config = config::read_config(config_json(agent.address(), list_json(41, true, {})));
+    config.listen = net::Tcp::acceptor(io, any_port).local_endpoint();
     config.operators = any_port;
     HotRestartLock other(HotRestartLock::temporary_folder(),
                          "127.0.0.1-" + std::to_string(config.listen.port()));
@@ -308,12 +310,13 @@
 // An upload that is whole here while its server takes no more of it, with a client that leaves: it is not
 // finished, also where settings forbid to withdraw what a server has whole.
 struct UploadToABusyServer : SystemCalls {
-    const std::string body = std::string(Pipe::kMost + 2000, 'x');
+    const std::string body = std::string(net::BodyBuffer::kMost + 2000, 'x');
     static constexpr int kLongTime = 60000;  // ms, far more than until() waits
 
     void start_without_cancelling() {
         const std::string text = config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}}));
-        sidecar.emplace(io, read_config(replaced(text, "\"may-cancel\":true", "\"may-cancel\":false")));
+        sidecar.emplace(io,
+                        config::read_config(replaced(text, "\"may-cancel\":true", "\"may-cancel\":false")));
     }
     // Begun, and then held up; `early` is what its client sends behind it.
     TestClient& upload(const std::string& early) {
@@ -414,7 +417,7 @@
     void watch(bool persistent = false) {
         discovery.emplace(
             io, agent.endpoint(), 41, persistent, 400,
-            Discovery::Callbacks{[](const MemberList&) {},
+            Discovery::Callbacks{[](const config::DiscoveryList&) {},
                                  [this](const Discovery::Failure& failure) {
                                      failures.push_back(failure);
                                      told_after.push_back(since_called() + failure.notified_within);
@@ -431,12 +434,12 @@
         for (int calls = 0; calls < 2; ++calls) {
             EXPECT_EQ(next_failure().kind, ListFailure::broken) << std::strerror(error);
             EXPECT_LE(told_after.back(), kBound + kAgain / 2) << std::strerror(error);
-            let_pass(span(kAgain));
+            let_pass(net::span(kAgain));
             discovery->watch(true);
         }
         discovery.reset();
     }
-    Millis since_called() const { return millis(std::chrono::steady_clock::now() - called); }
+    Millis since_called() const { return net::millis(std::chrono::steady_clock::now() - called); }
 };
 
 // Discovery may well be reachable: the bound runs from the first of the calls, however many fail.
@@ -463,7 +466,7 @@
         faults.fail(SystemCall::connect, error, kForever, to(agent));
         watch();
         next_failure();
-        let_pass(span(kAgain));
+        let_pass(net::span(kAgain));
         discovery->watch(true);
         EXPECT_EQ(next_failure().kind, ListFailure::unreachable) << std::strerror(error);
         EXPECT_GE(told_after.back(), kBound + kAgain / 2) << std::strerror(error);
@@ -490,8 +493,8 @@
 
 // Whoever is told of a datagram has no memory for it: that one is lost, as any may be.
 TEST_F(SystemCalls, NoMemoryForAPeersDatagram_takesTheNext) {
-    const Udp::endpoint anywhere(asio::ip::address_v4::loopback(), 0);
-    Udp::socket peer(io, anywhere);
+    const net::Udp::endpoint anywhere(asio::ip::address_v4::loopback(), 0);
+    net::Udp::socket peer(io, anywhere);
     bool no_memory = true;
     std::size_t received = 0;
     Peers peers(io, anywhere, {peer.local_endpoint()}, std::nullopt,
@@ -508,8 +511,8 @@
 }
 
 TEST_F(SystemCalls, ReceivingFromPeersFailingForLong_pauses) {
-    const Udp::endpoint anywhere(asio::ip::address_v4::loopback(), 0);
-    Udp::socket peer(io, anywhere);
+    const net::Udp::endpoint anywhere(asio::ip::address_v4::loopback(), 0);
+    net::Udp::socket peer(io, anywhere);
     std::size_t received = 0;
     Peers peers(io, anywhere, {peer.local_endpoint()}, std::nullopt,
                 [&](std::uint32_t, const std::vector<std::uint8_t>&) { ++received; });
@@ -535,15 +538,15 @@
 }
 
 struct Members : SystemCalls {
-    static cluster::Settings settings(std::vector<Tcp::endpoint> seeds) {
+    static cluster::Settings settings(std::vector<net::Tcp::endpoint> seeds) {
         cluster::Settings made;
-        made.bind = Udp::endpoint(asio::ip::address_v4::loopback(), 0);
+        made.bind = net::Udp::endpoint(asio::ip::address_v4::loopback(), 0);
         made.seeds = std::move(seeds);
         made.key = std::string(32, 'k');
         made.parameters.period = 100;
         return made;
     }
-    static Tcp::endpoint tcp_of(const cluster::Agent& agent) {
+    static net::Tcp::endpoint tcp_of(const cluster::Agent& agent) {
         return {agent.address().address(), agent.address().port()};
     }
 };
@@ -557,7 +560,7 @@
     for (const int error : {ECONNABORTED, EPROTO, EINTR, EMFILE}) {
         const auto before = rejected();
         faults.fail(SystemCall::accept, error, 1, at_first);
-        Tcp::socket caller(io);
+        net::Tcp::socket caller(io);
         caller.connect(tcp_of(agent_of_first));
         asio::write(caller, asio::buffer("\xff\xff\xff\xff", 4));  // the length of what follows
         until([&] { return rejected() == before + 1; });
@@ -570,7 +573,7 @@
     const Ports at_first{first.address().port(), 0};
     faults.fail(SystemCall::receive, ENOMEM, kForever, at_first);
     cluster::Agent second(io, settings({tcp_of(first)}), "n2", "1", {});
-    Udp::socket stranger(io, Udp::endpoint(asio::ip::address_v4::loopback(), 0));
+    net::Udp::socket stranger(io, net::Udp::endpoint(asio::ip::address_v4::loopback(), 0));
     stranger.send_to(asio::buffer("x", 1), first.address());
     let_pass(std::chrono::milliseconds(200));
     EXPECT_GE(faults.failed(SystemCall::receive), 1);
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -8,19 +8,20 @@
 
 struct UpstreamTest : testing::Test {
     asio::io_context io;
-    std::optional<Upstream> upstream;
+    std::optional<UpstreamPool> upstream;
     struct End {
         Outcome outcome;
-        Upstream::Response response;
+        UpstreamPool::Response response;
     };
     std::vector<End> ends;
 
     UpstreamTest() { make({}); }
-    std::shared_ptr<Budget> budget = std::make_shared<Budget>(Budget{16 << 20});
-    void make(Upstream::Limits limits) { upstream.emplace(io, limits, budget); }
+    std::shared_ptr<net::BufferBudget> budget =
+        std::make_shared<net::BufferBudget>(net::BufferBudget{16 << 20});
+    void make(UpstreamPool::Limits limits) { upstream.emplace(io, limits, budget); }
     // A body of which that much has come.
-    std::shared_ptr<Pipe> come(const std::string& bytes, std::optional<std::uint64_t> length) {
-        auto body = std::make_shared<Pipe>(budget, length);
+    std::shared_ptr<net::BodyBuffer> come(const std::string& bytes, std::optional<std::uint64_t> length) {
+        auto body = std::make_shared<net::BodyBuffer>(budget, length);
         EXPECT_GE(body->room(), bytes.size());
         bytes.copy(body->space(), bytes.size());
         body->added(bytes.size());
@@ -29,20 +30,20 @@
     }
     void until(const std::function<bool()>& reached) { run_until(io, reached); }
 
-    Upstream::Begun begun;
-    ExchangeId start(const std::shared_ptr<Pipe>& body = nullptr) {
-        Upstream::Request request;
+    UpstreamPool::OnResponseStarted begun;
+    ExchangeId start(const std::shared_ptr<net::BodyBuffer>& body = nullptr) {
+        UpstreamPool::Request request;
         request.message.method(http::verb::post);
         request.message.target("/deposit");
         request.body = body;
         return upstream->start(
             kServer, std::move(request),
-            [this](Outcome outcome, Upstream::Response response) {
+            [this](Outcome outcome, UpstreamPool::Response response) {
                 ends.push_back({outcome, std::move(response)});
             },
             begun);
     }
-    End one(const Tcp::endpoint& address) {
+    End one(const net::Tcp::endpoint& address) {
         upstream->set_server(kServer, address, 0);
         const std::size_t before = ends.size();
         start();
@@ -108,12 +109,12 @@
 
 // A machine that vanished says nothing: the connection never comes up. A full backlog behaves alike.
 TEST_F(UpstreamTest, AConnectionThatNeverComesUpIsGivenUp) {
-    Tcp::acceptor deaf(io, Tcp::v4());
+    net::Tcp::acceptor deaf(io, net::Tcp::v4());
     deaf.bind(any_port);
     deaf.listen(0);
-    std::list<Tcp::socket> filling;
+    std::list<net::Tcp::socket> filling;
     for (int i = 0; i < 4; ++i) {
-        filling.emplace_back(io, Tcp::v4());
+        filling.emplace_back(io, net::Tcp::v4());
         filling.back().async_connect(deaf.local_endpoint(), [](error_code) {});
     }
     make({20, 1000, 8});
@@ -123,14 +124,14 @@
 
 // Broken before the last byte was written: it can't have run, and an unsafe request may go elsewhere.
 TEST_F(UpstreamTest, AConnectionThatBreaksWithinTheRequestProvesThatItNeverRan) {
-    Tcp::acceptor acceptor(io, any_port);
-    std::optional<Tcp::socket> accepted;
-    acceptor.async_accept([&](error_code, Tcp::socket socket) { accepted.emplace(std::move(socket)); });
+    net::Tcp::acceptor acceptor(io, any_port);
+    std::optional<net::Tcp::socket> accepted;
+    acceptor.async_accept([&](error_code, net::Tcp::socket socket) { accepted.emplace(std::move(socket)); });
     upstream->set_server(kServer, acceptor.local_endpoint(), 0);
     start(come(std::string(60000, 'x'), 1 << 20));
     until([&] { return accepted.has_value(); });
     bool begun = false;
-    accepted->async_wait(Tcp::socket::wait_read, [&](error_code) { begun = true; });
+    accepted->async_wait(net::Tcp::socket::wait_read, [&](error_code) { begun = true; });
     until([&] { return begun; });
     accepted->set_option(asio::socket_base::linger(true, 0));
     accepted->close();
@@ -141,10 +142,10 @@
 TEST_F(UpstreamTest, WhatIsStoppedMayHaveRunOnceItWasWritten) {
     ScriptedServer server(io, [](const auto&) { return Reply{}; });
     upstream->set_server(kServer, server.endpoint(), 0);
-    EXPECT_FALSE(upstream->stop(start())) << "not even connected";
+    EXPECT_FALSE(upstream->cancel(start())) << "not even connected";
     const ExchangeId second = start();
     until([&] { return server.requests.size() == 1; });
-    EXPECT_TRUE(upstream->stop(second));
+    EXPECT_TRUE(upstream->cancel(second));
     until([&] { return server.ended() == server.connections.size(); });
     EXPECT_EQ(upstream->stats().open, 0u);
     EXPECT_TRUE(ends.empty());
@@ -163,7 +164,7 @@
     ASSERT_GE(body->room(), 3u);
     std::string("ody").copy(body->space(), 3);
     body->added(3);
-    EXPECT_TRUE(upstream->stop(exchange));
+    EXPECT_TRUE(upstream->cancel(exchange));
     until([&] { return server.requests.size() == 1; });
 }
 
@@ -261,7 +262,7 @@
     ScriptedServer second(io, [](const auto&) { return Reply{}; });
     EXPECT_EQ(one(first.endpoint()).outcome, Outcome::completed);
     upstream->set_server(kServer + 1, second.endpoint(), 0);
-    Upstream::Request ping;
+    UpstreamPool::Request ping;
     ping.message.method(http::verb::get);
     ping.message.target("/ping");
     upstream->start(kServer + 1, std::move(ping), [](Outcome, const auto&) {});
--- a/tests/wall_clock_test.cmake
+++ b/tests/wall_clock_test.cmake
@@ -1,13 +1,13 @@
-# A wall clock may be stepped. Only src/node/clock.hpp reads it, for the ages of servers; deadlines, windows,
+# A wall clock may be stepped. Only src/net/clock.hpp reads it, for the ages of servers; deadlines, windows,
 # waits and graces are counted by the steady clock.
 set(wall_clocks "::system_clock|system_timer|deadline_timer|CLOCK_REALTIME|gettimeofday|std::time\\(|[^_]time\\((nullptr|NULL|0)\\)")
 set(count 0)
-foreach(part node policy cluster settings wire)
+foreach(part net config node policy cluster wire)
   file(GLOB files ${SOURCES}/${part}/*)
   foreach(file IN LISTS files)
     math(EXPR count "${count} + 1")
     file(STRINGS ${file} found REGEX "${wall_clocks}")
-    if(found AND NOT file MATCHES "/node/clock.hpp$")
+    if(found AND NOT file MATCHES "/net/clock.hpp$")
       message(FATAL_ERROR "${file} reads a wall clock: ${found}")
     endif()
   endforeach()
