--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -17,6 +17,8 @@
 constexpr double kSpareServers = 2;
 /// Draws of a server for the subset beyond the size wanted, before what there is must do.
 constexpr int kExtraDraws = 16;
+/// Candidates for which memory is taken at once.
+constexpr std::size_t kUsualCandidates = 8;
 /// Reserved servers are used where their responses take less than this share of the time.
 constexpr double kReservedAdvantage = 0.5;
 
@@ -74,6 +76,7 @@
 
 Endpoint* EndpointSelector::select(const Request& request, bool admitted, double in_flight, Millis now) {
     Selection selection{request, admitted, now};
+    selection.candidates.preferred.reserve(kUsualCandidates);
     offer_subset(selection);
     if (admitted) {
         extend_subset(selection, in_flight + kSpareServers);
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -20,8 +20,10 @@
 
 void RequestTable::forget_finished() {
     for (const RequestId id : finished_) {
-        const Request* const request = find(id);
-        if (request && request->has_final_answer && !request->is_in_flight()) requests_.erase(id);
+        const auto entry = requests_.find(id);
+        if (entry == requests_.end()) continue;
+        const Request& request = entry->second;
+        if (request.has_final_answer && !request.is_in_flight()) requests_.erase(entry);
     }
     finished_.clear();
 }
