--- /dev/null
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -0,0 +1,49 @@
+/// @file
+/// Tenants' quotas in a crowd.
+#include <cstdint>
+#include <vector>
+
+#include "support/policy_harness.hpp"
+#include "support/policy_traffic.hpp"
+
+namespace mothring::test {
+namespace {
+
+// Nine of ten requests come from one of two tenants with equal quotas, into a pool that responds late.
+TEST(TenantQuotas, KeepATenantBeyondItsQuotaFromStarvingOthers) {
+    Settings settings = make_settings();
+    settings.tenant_quotas = {0.5, 0.5};
+    settings.over_quota_weight = 0.1;
+    PolicyHarness harness(settings);
+    harness.deliver_list(ListKind::full, make_servers(4));
+    int sent[2] = {0, 0};
+    int arrived[2] = {0, 0};
+    for (int i = 0; i < 300; ++i) {
+        std::vector<RequestId> ids;
+        for (int number = 0; number < 10; ++number) {
+            const std::uint32_t tenant = number == 5;
+            ids.push_back(harness.start_request(0, 2000, false, tenant));
+            if (i < 100) continue;  // until the limit is down and the shares are known
+            ++arrived[tenant];
+            sent[tenant] += harness.is_in_flight(ids.back());
+        }
+        harness.complete_in_flight(ids, 390);
+        harness.advance(10);
+    }
+    EXPECT_GT(2 * sent[1], arrived[1]);
+    EXPECT_GT(sent[1] * arrived[0], 2 * sent[0] * arrived[1]);
+}
+
+// A sidecar sees a tenant far beyond its quota of the service where that tenant's applications run.
+TEST(TenantQuotas, ServeATenantBeyondItsQuotaWithoutACrowd) {
+    const RequestClass cheap = make_class(Idempotency::always);
+    RequestClass valuable = make_class(Idempotency::never);
+    valuable.priority_weight = 3;
+    Settings settings = make_settings({cheap, valuable});
+    settings.tenant_quotas = {0.2, 0.8};
+    settings.over_quota_weight = 0.1;
+    EXPECT_LT(count_rejected_without_crowd(settings, 0, 300), 50);
+}
+
+}  // namespace
+}  // namespace mothring::test
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -14,7 +14,7 @@
 #include <variant>
 
 #include "net_rig.hpp"
-#include "rig.hpp"
+#include "support/policy_harness.hpp"
 
 namespace {
 
@@ -214,22 +214,24 @@
 TEST(Scale, AServerOutOfThePoolThatStartsAnewIsOneOfManyAgain) {
     Settings settings = make_settings();
     settings.slow_start_window = 0;
-    Rig rig(settings);
+    PolicyHarness harness(settings);
     std::vector<EndpointInfo> servers = make_servers(6);
-    rig.list(ListKind::full, servers);
-    for (int i = 0; i < 300 && rig.removals() == 0; ++i)  // the windows fill first
-        for (const RequestId id : rig.burst(3))
-            while (rig.out(id))
-                rig.end(id, i > 100 && rig.where(id) == 1 ? Outcome::failed : Outcome::completed, 10);
-    ASSERT_EQ(rig.removals(), 1);
-    rig.pass(20000);  // longer than it stays out for
-    servers[0].started_at = rig.now;
-    rig.list(ListKind::incremental, {servers[0]});
+    harness.deliver_list(ListKind::full, servers);
+    for (int i = 0; i < 300 && harness.ejections == 0; ++i)  // the windows fill first
+        for (const RequestId id : harness.start_requests(3))
+            while (harness.is_in_flight(id))
+                harness.end_attempt(
+                    id, i > 100 && harness.server_of(id) == 1 ? Outcome::failed : Outcome::completed, 10);
+    ASSERT_EQ(harness.ejections, 1);
+    harness.advance(20000);  // longer than it stays out for
+    servers[0].started_at = harness.now;
+    harness.deliver_list(ListKind::incremental, {servers[0]});
     int there = 0;
     for (int i = 0; i < 10; ++i) {
-        const std::vector<RequestId> ids = rig.burst(6);  // so many at once that each server has its part
-        for (const RequestId id : ids) there += rig.where(id) == 1;
-        rig.serve(ids, 10);
+        const std::vector<RequestId> ids =
+            harness.start_requests(6);  // so many at once that each server has its part
+        for (const RequestId id : ids) there += harness.server_of(id) == 1;
+        harness.complete_in_flight(ids, 10);
     }
     EXPECT_GT(there, 0);
     EXPECT_LT(there, 30) << "as if each were its trial";
--- /dev/null
+++ b/tests/support/policy_harness.cpp
@@ -0,0 +1,261 @@
+#include "policy_harness.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace mothring::test {
+
+namespace {
+
+constexpr Millis kLatencyObjective = 400;
+constexpr std::uint32_t kMaxAttempts = 4;
+constexpr double kSlowStartMinCapacity = 0.2;
+constexpr Millis kSlowStartWindow = 20000;
+/// Longer than any request of the tests may take.
+constexpr Millis kLongerThanAnyRequest = 60000;
+
+/// The first attempt of a request that may have run; null: none.
+const PolicyHarness::TrackedAttempt* first_possible_run(const PolicyHarness::TrackedRequest& request) {
+    for (const PolicyHarness::TrackedAttempt& attempt : request.attempts)
+        if (attempt.may_have_run) return &attempt;
+    return nullptr;
+}
+
+bool permits(const std::optional<std::vector<std::uint32_t>>& permitted, std::uint32_t value) {
+    return !permitted || std::find(permitted->begin(), permitted->end(), value) != permitted->end();
+}
+
+}  // namespace
+
+RequestClass make_class(Idempotency idempotency, DedupScope scope, Millis window) {
+    RequestClass request_class;
+    request_class.idempotency = idempotency;
+    request_class.dedup_scope = scope;
+    request_class.dedup_window = window;
+    request_class.latency_objective = kLatencyObjective;
+    return request_class;
+}
+
+Settings make_settings(std::vector<RequestClass> classes) {
+    Settings settings;
+    settings.classes = std::move(classes);
+    settings.max_attempts = kMaxAttempts;
+    settings.slow_start_min_capacity = kSlowStartMinCapacity;
+    settings.slow_start_window = kSlowStartWindow;
+    return settings;
+}
+
+std::vector<EndpointInfo> make_servers(ServerId count, Millis started_at) {
+    std::vector<EndpointInfo> servers;
+    for (ServerId id = 1; id <= count; ++id)
+        servers.push_back({id, id % 3, id % 2, EndpointState::active, started_at, id % 2});
+    return servers;
+}
+
+PolicyHarness::PolicyHarness(Settings balancer_settings, std::uint64_t seed)
+    : settings(balancer_settings), balancer(std::move(balancer_settings), seed) {}
+
+void PolicyHarness::deliver(const Event& event) {
+    last_actions.clear();
+    balancer.handle(now, event, last_actions);
+    for (const Action& action : last_actions) check(action);
+}
+
+void PolicyHarness::deliver_list(ListKind kind, const std::vector<EndpointInfo>& infos) {
+    if (kind != ListKind::incremental && kind != ListKind::failed)
+        for (auto& [id, server] : servers) server.state = EndpointState::removed;
+    for (const EndpointInfo& info : infos) servers[info.id] = info;
+    deliver(EndpointList{kind, infos});
+}
+
+RequestId PolicyHarness::start_request(std::uint32_t class_index, Millis time_left, bool is_retry,
+                                       std::uint32_t tenant) {
+    const RequestId id = next_id++;
+    RequestClass request_class = make_class(Idempotency::never);
+    if (class_index < settings.classes.size()) request_class = settings.classes[class_index];
+    requests[id] = {request_class, class_index, now + time_left};
+    deliver(RequestArrived{id, class_index, time_left, 0, is_retry, tenant});
+    return id;
+}
+
+std::vector<RequestId> PolicyHarness::start_requests(int count, Millis time_left, bool are_retries) {
+    std::vector<RequestId> ids;
+    ids.reserve(static_cast<std::size_t>(count));
+    for (int i = 0; i < count; ++i) ids.push_back(start_request(0, time_left, are_retries));
+    return ids;
+}
+
+void PolicyHarness::disconnect_client(RequestId id) {
+    requests.at(id).client_gone = true;
+    deliver(ClientDisconnected{id});
+}
+
+void PolicyHarness::end_attempt(RequestId id, Outcome outcome, Millis after) {
+    now += after;
+    const TrackedRequest& request = requests.at(id);
+    for (std::uint32_t number = 0; number < request.attempts.size(); ++number) {
+        if (!request.attempts[number].in_flight) continue;
+        end_numbered_attempt(id, number, outcome);
+        return;
+    }
+    FAIL() << "nothing in flight for request " << id;
+}
+
+void PolicyHarness::end_numbered_attempt(RequestId id, std::uint32_t number, Outcome outcome) {
+    TrackedRequest& request = requests.at(id);
+    TrackedAttempt& attempt = request.attempts.at(number);
+    attempt.in_flight = false;
+    const bool overload_proves_nothing = outcome != Outcome::overloaded || settings.overloaded_may_have_run;
+    attempt.may_have_run =
+        overload_proves_nothing && outcome != Outcome::connect_failed && outcome != Outcome::not_sent;
+    if (outcome == Outcome::completed && !is_closed(request)) ++request.answers;
+    deliver(AttemptEnded{id, number, outcome, now - attempt.sent_at, is_closed(request)});
+}
+
+void PolicyHarness::complete_in_flight(const std::vector<RequestId>& ids, Millis after) {
+    now += after;
+    for (const RequestId id : ids)
+        if (is_in_flight(id)) end_attempt(id, Outcome::completed, 0);
+}
+
+void PolicyHarness::advance(Millis span) {
+    const Millis until = now + span;
+    bool was_due = true;
+    while (was_due) was_due = advance_to_next_event(until);
+}
+
+bool PolicyHarness::advance_to_next_event(Millis until) {
+    struct ExpiringAttempt {
+        RequestId id;
+        std::uint32_t number;
+    };
+    Millis next = until;
+    if (!timers.empty()) next = std::min(next, timers.begin()->first);
+    std::optional<ExpiringAttempt> expiring;
+    for (const auto& [id, request] : requests)
+        for (std::uint32_t number = 0; number < request.attempts.size(); ++number) {
+            const TrackedAttempt& attempt = request.attempts[number];
+            const Millis expires_at = std::max(now, attempt.deadline);
+            if (!attempt.in_flight || expires_at >= next) continue;
+            next = expires_at;
+            expiring = {id, number};
+        }
+    now = std::max(now, next);
+    if (expiring) {
+        end_numbered_attempt(expiring->id, expiring->number, Outcome::timed_out);
+        return true;
+    }
+    if (timers.empty() || timers.begin()->first > now || now > until) return false;
+    const TimerToken token = timers.begin()->second;
+    timers.erase(timers.begin());
+    deliver(TimerFired{token});
+    return true;
+}
+
+void PolicyHarness::stall(Millis span) {
+    now += span;
+    stalled_until = now;
+    advance(0);
+}
+
+void PolicyHarness::restart_balancer(std::uint64_t seed) {
+    requests.clear();
+    timers.clear();
+    balancer = Balancer(settings, seed);
+    std::vector<EndpointInfo> saved;
+    for (const auto& [id, server] : servers)
+        if (server.state != EndpointState::removed) saved.push_back(server);
+    deliver(Started{});
+    deliver_list(ListKind::cached, saved);
+}
+
+void PolicyHarness::expect_all_answered() {
+    advance(kLongerThanAnyRequest);
+    for (const auto& [id, request] : requests)
+        EXPECT_TRUE(is_closed(request)) << "rule 1: request " << id << " unanswered";
+    EXPECT_EQ(balancer.gauges().requests, 0U);
+}
+
+bool PolicyHarness::is_in_flight(RequestId id) const {
+    const std::vector<TrackedAttempt>& attempts = requests.at(id).attempts;
+    return std::any_of(attempts.begin(), attempts.end(),
+                       [](const TrackedAttempt& attempt) { return attempt.in_flight; });
+}
+
+int PolicyHarness::count_in_flight(const std::vector<RequestId>& ids) const {
+    return static_cast<int>(
+        std::count_if(ids.begin(), ids.end(), [&](RequestId id) { return is_in_flight(id); }));
+}
+
+void PolicyHarness::check(const Action& action) {
+    if (const auto* send = std::get_if<SendAttempt>(&action)) check_send(*send);
+    if (const auto* rejection = std::get_if<RejectRequest>(&action)) check_rejection(*rejection);
+    if (const auto* failure = std::get_if<FailRequest>(&action)) record_answer(requests.at(failure->id));
+    if (const auto* timer = std::get_if<SetTimer>(&action)) timers.emplace(timer->at, timer->token);
+    if (std::holds_alternative<EndpointEjected>(action)) ++ejections;
+}
+
+void PolicyHarness::check_rejection(const RejectRequest& rejection) {
+    TrackedRequest& request = requests.at(rejection.id);
+    if (first_possible_run(request)) {
+        const RequestClass& request_class = request.request_class;
+        EXPECT_TRUE(request_class.idempotency == Idempotency::always ||
+                    (request_class.idempotency == Idempotency::with_key &&
+                     request_class.dedup_scope == DedupScope::all))
+            << "rule 2: rejected after a possible run";
+    }
+    request.rejected = true;
+    record_answer(request);
+}
+
+void PolicyHarness::record_answer(TrackedRequest& request) {
+    EXPECT_FALSE(is_closed(request)) << "rule 1: a second final answer";
+    EXPECT_LE(now, std::max(request.deadline, stalled_until)) << "rule 1: too late an answer";
+    ++request.answers;
+}
+
+void PolicyHarness::check_send(const SendAttempt& send) {
+    TrackedRequest& request = requests.at(send.id);
+    const EndpointInfo& server = servers.at(send.server);
+    EXPECT_FALSE(is_closed(request)) << "rule 1: sent after the final answer";
+    EXPECT_LT(request.attempts.size(), settings.max_attempts) << "too many attempts";
+    EXPECT_EQ(server.state, EndpointState::active) << "rule 3: sent to a draining or gone server";
+    check_placement(request, server);
+    check_repeat(request, server);
+    request.attempts.push_back({send.server, now, send.deadline > 0 ? send.deadline : request.deadline});
+}
+
+void PolicyHarness::check_placement(const TrackedRequest& request, const EndpointInfo& server) const {
+    for (std::size_t index = 0; index < settings.classes.size(); ++index) {
+        // A class that nobody knows may be any of those known.
+        const bool is_known = request.class_index < settings.classes.size();
+        if (is_known && index != request.class_index) continue;
+        EXPECT_TRUE(permits(settings.classes[index].zones, server.zone)) << "placement: zone " << server.zone;
+        EXPECT_TRUE(permits(settings.classes[index].kinds, server.kind)) << "placement: kind " << server.kind;
+    }
+}
+
+void PolicyHarness::check_repeat(const TrackedRequest& request, const EndpointInfo& server) const {
+    const RequestClass& request_class = request.request_class;
+    for (const TrackedAttempt& attempt : request.attempts) {
+        if (attempt.in_flight) {
+            EXPECT_TRUE(settings.may_hedge) << "two attempts in flight";
+        }
+        if (!attempt.may_have_run) continue;
+        EXPECT_NE(request_class.idempotency, Idempotency::never) << "rule 2: sent again after a possible run";
+        if (request_class.idempotency != Idempotency::with_key) continue;
+        const EndpointInfo& before = servers.at(attempt.server);
+        if (request_class.dedup_scope == DedupScope::zone) {
+            EXPECT_EQ(server.zone, before.zone) << "rule 2: zone";
+        }
+        if (request_class.dedup_scope == DedupScope::cell) {
+            EXPECT_EQ(server.cell, before.cell) << "rule 2: cell";
+        }
+    }
+    const TrackedAttempt* const first = first_possible_run(request);
+    if (first && request_class.idempotency == Idempotency::with_key) {
+        EXPECT_LT(now, first->sent_at + request_class.dedup_window) << "rule 2: after the window";
+    }
+}
+
+}  // namespace mothring::test
