--- a/tests/policy/attempt_rules_test.cpp
+++ b/tests/policy/attempt_rules_test.cpp
@@ -1,12 +1,51 @@
 /// @file
 /// The platform's rules, each by what would tempt the policy to break it.
+#include "attempt_rules.hpp"
+
+#include <cstdint>
 #include <utility>
 
+#include "capacity_survey.hpp"
+#include "slow_start.hpp"
 #include "support/policy_harness.hpp"
 
 namespace mothring::test {
 namespace {
 
+constexpr Millis kNow = 100000;
+constexpr Millis kDedupWindow = 300;
+
+/// The rules with the parts that they ask, and a server for each case.
+class AttemptRulesAlone : public testing::Test {
+protected:
+    static Request make_request(Idempotency idempotency, DedupScope scope = DedupScope::all) {
+        Request request;
+        request.request_class = make_class(idempotency, scope, kDedupWindow);
+        request.deadline = kNow + 1000;
+        return request;
+    }
+
+    // An attempt that has ended and may have run.
+    static Attempt possible_run(const EndpointInfo& server = {}) {
+        Attempt attempt;
+        attempt.server = server;
+        attempt.sent_at = kNow;
+        attempt.in_flight = false;
+        return attempt;
+    }
+
+    Settings settings = make_settings();
+    EndpointSet endpoints{settings};
+    OutlierDetector outliers{settings, endpoints};
+    ZoneHealth zones;
+    CapacitySurvey survey{endpoints, outliers, zones};
+    LatencyModel latencies;
+    FleetShare fleet{settings};
+    SlowStart slow_start{settings, survey, latencies, fleet};
+    AttemptRules rules{settings, slow_start};
+    Endpoint server;
+};
+
 PolicyHarness harness_of_three_servers(RequestClass request_class) {
     PolicyHarness harness(make_settings({std::move(request_class)}));
     harness.deliver_list(ListKind::full, make_servers(3));
@@ -121,5 +160,39 @@
     }
 }
 
+TEST_F(AttemptRulesAlone, ResendAKeyedRequestInItsScopeAndWindowOnly) {
+    const EndpointInfo first_server{1, 2, 3, EndpointState::active, 0, 0};
+    struct Case {
+        DedupScope scope;
+        ZoneId zone;
+        std::uint32_t cell;
+        bool allowed;
+    };
+    for (const Case& tested : {Case{DedupScope::all, 9, 9, true}, Case{DedupScope::zone, 2, 9, true},
+                               Case{DedupScope::zone, 9, 3, false}, Case{DedupScope::cell, 9, 3, true},
+                               Case{DedupScope::cell, 2, 9, false}}) {
+        Request request = make_request(Idempotency::with_key, tested.scope);
+        request.attempts = {possible_run(first_server)};
+        server.info.zone = tested.zone;
+        server.info.cell = tested.cell;
+        EXPECT_EQ(rules.may_send(request, server, kNow + kDedupWindow - 1), tested.allowed);
+        EXPECT_FALSE(rules.may_send(request, server, kNow + kDedupWindow));
+    }
+}
+
+TEST_F(AttemptRulesAlone, RejectWhatMayHaveRunOnlyWhereARepeatDoesNoHarm) {
+    Request request = make_request(Idempotency::never);
+    EXPECT_TRUE(rules.may_reject(request, kNow)) << "it has not run";
+    request.attempts = {possible_run()};
+    EXPECT_FALSE(rules.may_reject(request, kNow));
+    request.request_class.idempotency = Idempotency::always;
+    EXPECT_TRUE(rules.may_reject(request, kNow));
+    request.request_class.idempotency = Idempotency::with_key;
+    EXPECT_TRUE(rules.may_reject(request, kNow + kDedupWindow - 1));
+    EXPECT_FALSE(rules.may_reject(request, kNow + kDedupWindow));
+    request.request_class.dedup_scope = DedupScope::zone;
+    EXPECT_FALSE(rules.may_reject(request, kNow));
+}
+
 }  // namespace
 }  // namespace mothring::test
--- a/tests/policy/endpoint_set_test.cpp
+++ b/tests/policy/endpoint_set_test.cpp
@@ -1,6 +1,9 @@
 /// @file
 /// What lists of servers change.
+#include "endpoint_set.hpp"
+
 #include <set>
+#include <utility>
 #include <vector>
 
 #include "support/policy_harness.hpp"
@@ -9,6 +12,21 @@
 namespace mothring::test {
 namespace {
 
+constexpr Millis kNow = 100000;
+
+std::vector<ServerId> update(EndpointSet& endpoints, ListKind kind, const std::vector<EndpointInfo>& infos) {
+    if (kind != ListKind::incremental) endpoints.unlist_all();
+    for (const EndpointInfo& info : infos) endpoints.update(info);
+    return endpoints.update_indexes({kind, infos}, kNow);
+}
+
+std::vector<ServerId> identifiers(const std::vector<Endpoint*>& index) {
+    std::vector<ServerId> ids;
+    ids.reserve(index.size());
+    for (const Endpoint* endpoint : index) ids.push_back(endpoint->info.id);
+    return ids;
+}
+
 TEST(EndpointSet, DropsWhatAFullListLacksAndKeepsWhatAnIncrementLacks) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::cached, make_servers(4));
@@ -46,5 +64,46 @@
     harness.expect_all_answered();
 }
 
+TEST(EndpointSet, TellsANewProcessFromAKnownOne) {
+    const Settings settings = make_settings();
+    EndpointSet endpoints(settings);
+    EXPECT_TRUE(endpoints.update({1, 0, 0, EndpointState::active, 500}).is_new_process) << "a new server";
+    EXPECT_FALSE(endpoints.update({1, 0, 0, EndpointState::draining, 500}).is_new_process);
+    EXPECT_FALSE(endpoints.update({1, 0, 0, EndpointState::active, 400}).is_new_process) << "older news";
+    EXPECT_TRUE(endpoints.update({1, 0, 0, EndpointState::active, 501}).is_new_process);
+}
+
+TEST(EndpointSet, KeepsItsIndexesInTheOrderOfIdentifiers) {
+    const Settings settings = make_settings();
+    EndpointSet endpoints(settings);
+    std::vector<EndpointInfo> infos = make_servers(5);
+    infos[1].state = EndpointState::draining;
+    infos[3].started_at = kNow;
+    std::swap(infos[0], infos[4]);
+    update(endpoints, ListKind::full, infos);
+    EXPECT_EQ(identifiers(endpoints.active()), (std::vector<ServerId>{1, 3, 4, 5}));
+    EXPECT_EQ(identifiers(endpoints.warming_up()), (std::vector<ServerId>{4}));
+    EXPECT_EQ(endpoints.active_by_kind().at(1), 3);
+    EXPECT_EQ(endpoints.active_by_kind().at(0), 1);
+    update(endpoints, ListKind::incremental, {{2, 2, 0, EndpointState::active, 0, 0}});
+    EXPECT_EQ(identifiers(endpoints.active()), (std::vector<ServerId>{1, 2, 3, 4, 5}));
+    EXPECT_EQ(endpoints.active_by_kind().at(0), 2);
+}
+
+TEST(EndpointSet, KeepsAServerThatIsGoneWhileItHasAttemptsInFlight) {
+    const Settings settings = make_settings();
+    EndpointSet endpoints(settings);
+    update(endpoints, ListKind::full, make_servers(3));
+    endpoints.at(2).in_flight = 1;
+    EXPECT_EQ(update(endpoints, ListKind::full, make_servers(1)), (std::vector<ServerId>{3}));
+    ASSERT_NE(endpoints.find(2), nullptr);
+    EXPECT_EQ(identifiers(endpoints.active()), (std::vector<ServerId>{1}));
+    EXPECT_FALSE(endpoints.forget_if_gone(2));
+    endpoints.at(2).in_flight = 0;
+    EXPECT_TRUE(endpoints.forget_if_gone(2));
+    EXPECT_EQ(endpoints.find(2), nullptr);
+    EXPECT_FALSE(endpoints.forget_if_gone(2)) << "not known any more";
+}
+
 }  // namespace
 }  // namespace mothring::test
--- /dev/null
+++ b/tests/policy/fleet_share_test.cpp
@@ -0,0 +1,36 @@
+/// @file
+/// This process's part of what the whole fleet of sidecars may do.
+#include "fleet_share.hpp"
+
+#include <gtest/gtest.h>
+
+namespace mothring::test {
+namespace {
+
+TEST(FleetShare, DividesTheLeastAttemptsByTheFleetsSize) {
+    Settings settings;
+    settings.fleet_size = 100;
+    const FleetShare share(settings);
+    EXPECT_DOUBLE_EQ(share.in_flight_per_server(), kMinInFlightPerServer / 100);
+}
+
+TEST(FleetShare, IsOneAttemptAtMost) {
+    Settings settings;
+    for (const std::uint32_t sidecars : {0U, 1U, 4U}) {
+        settings.fleet_size = sidecars;
+        EXPECT_EQ(FleetShare(settings).in_flight_per_server(), 1) << sidecars;
+    }
+}
+
+TEST(FleetShare, CountsPresentMembersOnlyWithAQuorum) {
+    Settings settings;
+    settings.fleet_size = 100;
+    FleetShare share(settings);
+    share.set_members({40, false});
+    EXPECT_DOUBLE_EQ(share.in_flight_per_server(), kMinInFlightPerServer / 100);
+    share.set_members({40, true});
+    EXPECT_DOUBLE_EQ(share.in_flight_per_server(), kMinInFlightPerServer / 40);
+}
+
+}  // namespace
+}  // namespace mothring::test
--- /dev/null
+++ b/tests/policy/latency_model_test.cpp
@@ -0,0 +1,50 @@
+/// @file
+/// How long responses take, as shares of their latency objectives.
+#include "latency_model.hpp"
+
+#include <gtest/gtest.h>
+
+namespace mothring::test {
+namespace {
+
+constexpr Millis kNow = 100000;
+
+Endpoint make_endpoint(ZoneId zone, KindId kind) {
+    Endpoint endpoint;
+    endpoint.info.zone = zone;
+    endpoint.info.kind = kind;
+    return endpoint;
+}
+
+TEST(LatencyModel, ExpectsAQuickResponseOfAnUnknownKind) {
+    LatencyModel model;
+    EXPECT_EQ(model.expected(make_endpoint(0, 0), kNow), 0);
+    EXPECT_EQ(model.quickest_kind(), LatencyModel::kMinRelativeLatency);
+}
+
+TEST(LatencyModel, ExpectsOfAnUnknownServerWhatItsKindInItsZoneTakesElseItsKind) {
+    LatencyModel model;
+    Endpoint slow_zone = make_endpoint(0, 0);
+    Endpoint quick_zone = make_endpoint(1, 0);
+    model.record(slow_zone, 0.8, kNow);
+    model.record(quick_zone, 0.2, kNow);
+    EXPECT_DOUBLE_EQ(model.expected(make_endpoint(0, 0), kNow), 0.8);
+    EXPECT_DOUBLE_EQ(model.expected(make_endpoint(1, 0), kNow), 0.2);
+    const double of_kind = model.expected(make_endpoint(2, 0), kNow);
+    EXPECT_GT(of_kind, 0.2);
+    EXPECT_LT(of_kind, 0.8);
+}
+
+TEST(LatencyModel, ExpectsOfAServerItsOwnMeanAsFarAsItHasResponses) {
+    LatencyModel model;
+    Endpoint known = make_endpoint(0, 0);
+    Endpoint other = make_endpoint(0, 0);
+    model.record(known, 0.2, kNow);
+    for (int i = 0; i < 100; ++i) model.record(other, 0.8, kNow);
+    const double of_place = model.expected(make_endpoint(0, 0), kNow);
+    known.completed.add(kPriorResponses, kNow);
+    EXPECT_DOUBLE_EQ(model.expected(known, kNow), (of_place + 0.2) / 2) << "both weigh alike";
+}
+
+}  // namespace
+}  // namespace mothring::test
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -1,5 +1,7 @@
 /// @file
 /// Which classes of requests may go to which servers.
+#include "placement.hpp"
+
 #include "support/policy_harness.hpp"
 
 namespace mothring::test {
@@ -55,5 +57,19 @@
     }
 }
 
+TEST(Placement, AllowsWhatZonesAndKindsBothPermit) {
+    Settings settings = make_settings();
+    const EndpointInfo server{1, 2, 0, EndpointState::active, 0, 3};
+    EXPECT_TRUE(placement_allows(settings, 0, server)) << "not confined";
+    settings.classes[0].zones = {{1, 2}};
+    EXPECT_TRUE(placement_allows(settings, 0, server));
+    settings.classes[0].kinds = {{4}};
+    EXPECT_FALSE(placement_allows(settings, 0, server));
+    settings.classes[0].kinds = {{3}};
+    EXPECT_TRUE(placement_allows(settings, 0, server));
+    settings.classes[0].zones = {{1}};
+    EXPECT_FALSE(placement_allows(settings, 0, server));
+}
+
 }  // namespace
 }  // namespace mothring::test
--- a/tests/policy/retry_budget_test.cpp
+++ b/tests/policy/retry_budget_test.cpp
@@ -1,5 +1,7 @@
 /// @file
 /// How many retries are sent for the requests that arrive.
+#include "retry_budget.hpp"
+
 #include <cstddef>
 
 #include "support/policy_harness.hpp"
@@ -7,6 +9,15 @@
 namespace mothring::test {
 namespace {
 
+int withdraw_all(RetryBudget& budget) {
+    int retries = 0;
+    while (!budget.is_exhausted()) {
+        budget.withdraw();
+        ++retries;
+    }
+    return retries;
+}
+
 TEST(RetryBudget, BoundsTheRetriesAtAFullPool) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(8));
@@ -19,5 +30,14 @@
     EXPECT_LT(attempts, 300 * 1.25 + 10);
 }
 
+TEST(RetryBudget, AllowsABurstThenARetryForFiveRequests) {
+    RetryBudget budget;
+    EXPECT_EQ(withdraw_all(budget), 10);
+    for (int i = 0; i < 4; ++i) budget.deposit();
+    EXPECT_TRUE(budget.is_exhausted());
+    for (int i = 0; i < 2; ++i) budget.deposit();
+    EXPECT_EQ(withdraw_all(budget), 1);
+}
+
 }  // namespace
 }  // namespace mothring::test
--- a/tests/policy/tenant_quotas_test.cpp
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -1,5 +1,7 @@
 /// @file
 /// Tenants' quotas in a crowd.
+#include "tenant_quotas.hpp"
+
 #include <cstdint>
 #include <vector>
 
@@ -9,6 +11,22 @@
 namespace mothring::test {
 namespace {
 
+constexpr Millis kNow = 100000;
+
+// Of 1,000 requests, of which one in `interval` comes from tenant 0 and the rest from tenant 1: those of
+// tenant 0 that are beyond its quota.
+int count_over_quota(const Settings& settings, int interval) {
+    TenantQuotas quotas(settings);
+    Random random(1);
+    int over_quota = 0;
+    for (int i = 0; i < 1000; ++i) {
+        const std::uint32_t tenant = i % interval == 0 ? 0 : 1;
+        const bool is_over = quotas.is_over_quota(tenant, random, kNow);
+        if (is_over && tenant == 0) ++over_quota;
+    }
+    return over_quota;
+}
+
 // Nine of ten requests come from one of two tenants with equal quotas, into a pool that responds late.
 TEST(TenantQuotas, KeepATenantBeyondItsQuotaFromStarvingOthers) {
     Settings settings = make_settings();
@@ -45,5 +63,32 @@
     EXPECT_LT(count_rejected_without_crowd(settings, 0, 300), 50);
 }
 
+TEST(TenantQuotas, CountNoRequestOfATenantWithinItsQuota) {
+    Settings settings;
+    settings.tenant_quotas = {0.5, 0.5};
+    EXPECT_EQ(count_over_quota(settings, 4), 0);
+}
+
+TEST(TenantQuotas, CountWhatATenantAsksBeyondItsQuota) {
+    Settings settings;
+    settings.tenant_quotas = {0.25, 0.75};
+    // Half of 1,000 requests where a quarter is agreed: about half of those.
+    const int over_quota = count_over_quota(settings, 2);
+    EXPECT_GT(over_quota, 150);
+    EXPECT_LT(over_quota, 350);
+}
+
+// An unknown tenant has no quota to be beyond, and costs no random number.
+TEST(TenantQuotas, TakeNoNoticeOfAnUnknownTenant) {
+    Settings settings;
+    settings.tenant_quotas = {0.5, 0.5};
+    TenantQuotas quotas(settings);
+    Random random(1);
+    Random untouched(1);
+    for (std::uint32_t tenant = 2; tenant < 100; ++tenant)
+        EXPECT_FALSE(quotas.is_over_quota(tenant, random, kNow)) << tenant;
+    EXPECT_EQ(random.unit(), untouched.unit());
+}
+
 }  // namespace
 }  // namespace mothring::test
--- a/tests/policy/zone_health_test.cpp
+++ b/tests/policy/zone_health_test.cpp
@@ -1,5 +1,7 @@
 /// @file
 /// Zones that are out of reach as a whole.
+#include "zone_health.hpp"
+
 #include <algorithm>
 #include <vector>
 
@@ -9,6 +11,11 @@
 namespace mothring::test {
 namespace {
 
+constexpr Millis kNow = 100000;
+constexpr ZoneId kZone = 7;
+
+EndpointInfo server_of_zone(ServerId id) { return {id, kZone, 0, EndpointState::active, 0, 0}; }
+
 // Sixty servers, twenty a zone, are all in use; then requests come one by one, and those that reach zone 1
 // find no connection. Returns how many attempts did.
 int lose_zone(PolicyHarness& harness) {
@@ -65,5 +72,18 @@
         std::any_of(ids.begin(), ids.end(), [&](RequestId id) { return harness.server_of(id) % 3 == 1; }));
 }
 
+TEST(ZoneHealth, LosesAZoneByFailuresAtOneServerAfterAnother) {
+    ZoneHealth health;
+    EXPECT_FALSE(health.record_unreachable(server_of_zone(1), kNow));
+    EXPECT_FALSE(health.record_unreachable(server_of_zone(1), kNow)) << "the same server";
+    EXPECT_FALSE(health.record_unreachable(server_of_zone(2), kNow));
+    EXPECT_FALSE(health.any_unreachable(kNow));
+    EXPECT_TRUE(health.record_unreachable(server_of_zone(1), kNow));
+    EXPECT_FALSE(health.record_unreachable(server_of_zone(2), kNow)) << "it is lost already";
+    EXPECT_TRUE(health.any_unreachable(kNow));
+    EXPECT_TRUE(health.is_unreachable(server_of_zone(9), kNow));
+    EXPECT_FALSE(health.is_unreachable({9, kZone + 1, 0, EndpointState::active, 0, 0}, kNow));
+}
+
 }  // namespace
 }  // namespace mothring::test
