--- a/src/cluster/agent.hpp
+++ b/src/cluster/agent.hpp
@@ -1,54 +1,61 @@
-// The membership on sockets: datagrams for probes and gossip, short TCP exchanges for whole states, at one
-// address. Carries out what Membership asks for and logs what it learns; decides nothing.
+/// @file
+/// The membership on sockets: datagrams for probes and gossip, short TCP exchanges for complete states, at
+/// one address. Carries out what Membership asks for and reports what it learns; decides nothing.
 #pragma once
 
-#include <array>
 #include <boost/asio/io_context.hpp>
+#include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
-#include <optional>
 #include <string>
 #include <vector>
 
 #include "cluster/codec.hpp"
 #include "cluster/membership.hpp"
 #include "cluster/settings.hpp"
+#include "cluster/traffic_counters.hpp"
 #include "net/clock.hpp"
 
 namespace mothring::cluster {
 
-// For /metrics.
-struct Figures {
+/// The state of an agent, for /metrics.
+struct Figures : TrafficCounters {
     View view;
     std::uint64_t incarnation = 0;
     unsigned awareness = 0;
     bool superseded = false;
     Membership::Counters counters;
-    std::uint64_t bytes_sent = 0, datagrams_sent = 0, syncs = 0, syncs_failed = 0;
-    double bytes_sent_per_s = 0;  // over the last ten periods or more
-    std::array<std::uint64_t, kRejections> rejected{};
+    /// Over the last ten periods or more.
+    double bytes_sent_per_s = 0;
     std::vector<Claim> members;
 };
 
+/// One member of the fleet.
 class Agent {
 public:
+    /// Whom it reports to; any of them may be empty.
     struct Callbacks {
-        std::function<void(const View&)> changed;  // the view, whenever it is another
-        // part.what and whom it is about, for the log.
+        /// The view, whenever it is another.
+        std::function<void(const View&)> changed;
+        /// What was learnt of a member, for the log.
         std::function<void(const Effects::Change&)> learnt;
+        /// @param from  the address of the sender, or "tcp".
         std::function<void(Rejection, const std::string& from)> rejected;
     };
 
-    /// Listens when it returns. Throws boost::system::system_error where it can't. The member's life and
-    /// first incarnation are taken from `clock` (Unix ms), and all its times are counted by it.
+    /// Listens when it returns.
+    /// @param clock  all times are counted by it; the member's life and first incarnation are taken from it
+    ///     (Unix ms).
+    /// @throws boost::system::system_error where it can't listen.
     Agent(boost::asio::io_context& io, Settings settings, std::string name, std::string version,
           Callbacks callbacks, net::Clock clock = net::Clock());
     ~Agent();
     Agent(const Agent&) = delete;
     Agent& operator=(const Agent&) = delete;
 
-    void leave();  // tells it at once; answers no probe any more
+    /// Tells other members at once that this one leaves; it answers no probe any more.
+    void leave();
+    /// Where it listens, for UDP and TCP.
     Udp::endpoint address() const;
     Figures figures() const;
 
--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -110,7 +110,7 @@
     } else {
         const Sync& sync = std::get<Sync>(payload);
         head(7, kSyncKind);
-        to.pack(sync.digest).pack(sync.whole);
+        to.pack(sync.digest).pack(sync.complete);
         pack(to, sync.claims);
     }
     const std::span body(reinterpret_cast<const std::uint8_t*>(buffer.data()), buffer.size());
@@ -143,7 +143,7 @@
             Sync sync;
             sync.from = from;
             sync.digest = in.number();
-            sync.whole = in.object().as<bool>();
+            sync.complete = in.object().as<bool>();
             sync.claims = read_claims(in.object());
             payload = std::move(sync);
         } else {
--- a/src/cluster/codec.hpp
+++ b/src/cluster/codec.hpp
@@ -28,7 +28,7 @@
 struct Sync {
     std::string from;
     std::uint64_t digest = 0;
-    bool whole = false;
+    bool complete = false;
     std::vector<Claim> claims;
 };
 
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -61,6 +61,8 @@
     const Claim& self() const { return self_; }
     // Another process has this member's name: this one has fallen silent.
     bool superseded() const { return superseded_; }
+    /// Whether it sends nothing any more: it has left, or another process has its name.
+    bool is_silent() const { return superseded_ || self_.state == State::left; }
     // All records, this member's first.
     std::vector<Claim> members() const;
     // What stands about one, this member included. None: not known.
