--- a/src/cluster/anti_entropy.cpp
+++ b/src/cluster/anti_entropy.cpp
@@ -10,20 +10,22 @@
 
 namespace {
 
-// The interval varies by so much of itself either way, so that exchanges do not fall into step.
-constexpr double kJitter = 0.25;
+// Fraction of the interval by which it varies either way, so that exchanges do not synchronise.
+constexpr double kJitterFraction = 0.25;
+// Of the interval, at the least, until the first exchange.
+constexpr double kFirstFraction = 0.5;
 
 }  // namespace
 
 void AntiEntropy::schedule_first(Millis now, const Parameters& parameters, std::mt19937_64& random) {
-    std::uniform_real_distribution<double> part(0.5, 1);
-    next_at_ = now + parameters.period * parameters.sync_least_periods * part(random);
+    std::uniform_real_distribution<double> fraction(kFirstFraction, 1);
+    next_at_ = now + parameters.period * parameters.min_sync_periods * fraction(random);
 }
 
 void AntiEntropy::schedule_next(Millis now, const Parameters& parameters, std::size_t members,
                                 std::mt19937_64& random) {
-    std::uniform_real_distribution<double> part(1 - kJitter, 1 + kJitter);
-    next_at_ = now + parameters.period * parameters.sync_periods(members) * part(random);
+    std::uniform_real_distribution<double> fraction(1 - kJitterFraction, 1 + kJitterFraction);
+    next_at_ = now + parameters.period * parameters.sync_periods(members) * fraction(random);
 }
 
 std::vector<std::string> choose_partners(const MemberTable& table, std::mt19937_64& random) {
--- a/src/cluster/anti_entropy.hpp
+++ b/src/cluster/anti_entropy.hpp
@@ -1,6 +1,7 @@
-// Anti-entropy: exchanges of the whole state with one member at a time, which bring what gossip lost and heal
-// partitions. Here are the schedule, the choice of partners and the digest that tells whether there is
-// anything to exchange.
+/// @file
+/// Anti-entropy: exchanges of the complete state with one member at a time, which recover what gossip lost
+/// and heal partitions. Here are the schedule, the choice of partners and the digest that shows whether there
+/// is anything to exchange.
 #pragma once
 
 #include <cstddef>
@@ -14,13 +15,15 @@
 
 namespace mothring::cluster {
 
+/// When the next exchange is due.
 class AntiEntropy {
 public:
-    // The next exchange, or, where there are to be none any more, the next look.
+    /// Sets the time of the next exchange.
     void begin_at(Millis at) { next_at_ = at; }
-    // The first exchange: spread, so that members started together do not exchange together.
+    /// Schedules the first exchange, at random, so that members started together do not exchange together.
     void schedule_first(Millis now, const Parameters& parameters, std::mt19937_64& random);
-    // The next one, in a fleet of so many present members.
+    /// Schedules the next exchange.
+    /// @param members  present in the fleet.
     void schedule_next(Millis now, const Parameters& parameters, std::size_t members,
                        std::mt19937_64& random);
     Millis next() const { return next_at_; }
@@ -29,10 +32,11 @@
     Millis next_at_ = 0;
 };
 
-// With whom to exchange: one present member, and one of those that died, as it may only have been cut off.
+/// Chooses whom to exchange with: one present member, and one of those that died, as it may only have been
+/// cut off.
 std::vector<std::string> choose_partners(const MemberTable& table, std::mt19937_64& random);
-// A hash of the names and incarnations of the present members, in whatever order they are given. What one has
-// forgotten of the gone and another not is nothing to exchange.
+/// A hash of the names and incarnations of the present members, whatever their order. Members that are gone
+/// do not count, as some tables hold them longer than others.
 std::uint64_t digest_of(const std::vector<Claim>& claims);
 
 }  // namespace mothring::cluster
--- a/src/cluster/claim.cpp
+++ b/src/cluster/claim.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t kFixedSize = 32;  // bytes of a claim in a message, besides its texts
+constexpr std::size_t kFixedBytes = 32;  // of a claim in a message, besides its texts
 
 }  // namespace
 
@@ -21,12 +21,15 @@
 }
 
 std::size_t encoded_size(const Claim& claim) {
-    return kFixedSize + claim.name.size() + claim.udp.size() + claim.tcp.size() + claim.version.size() +
+    return kFixedBytes + claim.name.size() + claim.udp.size() + claim.tcp.size() + claim.version.size() +
            claim.by.size();
 }
 
 Claim compact(Claim claim) {
-    if (claim.state != State::alive) claim.udp = claim.tcp = claim.version = "";
+    if (claim.state == State::alive) return claim;
+    claim.udp.clear();
+    claim.tcp.clear();
+    claim.version.clear();
     return claim;
 }
 
--- a/src/cluster/dissemination.hpp
+++ b/src/cluster/dissemination.hpp
@@ -1,4 +1,5 @@
-// Dissemination (SWIM 4.1): the claims that are piggybacked on the messages of the failure detector.
+/// @file
+/// Dissemination (SWIM 4.1): the claims that are piggybacked on the messages of the failure detector.
 #pragma once
 
 #include <cstddef>
@@ -9,20 +10,21 @@
 
 namespace mothring::cluster {
 
-// Holds at most one claim for each member, the latest.
+/// The claims to pass on; at most one for each member, the latest.
 class DisseminationQueue {
 public:
-    // To be passed on from now on, in place of what was said of that member before.
+    /// Takes a claim, in place of an earlier one about the same member.
     void enqueue(const Claim& claim);
-    // The claims for one message, the least transmitted first, of `room` bytes together by encoded_size().
-    // `buddy`, where given, is what the receiver must hear first of all, in whatever room (Lifeguard's buddy
-    // system). A claim transmitted `transmits` times is dropped.
-    std::vector<Claim> piggyback(const Claim* buddy, std::size_t room, unsigned transmits);
+    /// The claims for one message, the least transmitted first.
+    /// @param buddy  goes first, whatever its size (Lifeguard's buddy system). Null: none.
+    /// @param max_bytes  of all claims together, by encoded_size().
+    /// @param transmits  after so many a claim is dropped.
+    std::vector<Claim> piggyback(const Claim* buddy, std::size_t max_bytes, unsigned transmits);
 
 private:
     struct Entry {
         Claim claim;
-        unsigned transmitted = 0;  // times
+        unsigned transmits = 0;
     };
     std::deque<Entry> entries_;
 };
--- a/src/cluster/freshness_challenges.hpp
+++ b/src/cluster/freshness_challenges.hpp
@@ -1,3 +1,4 @@
+/// @file
 /// Challenges to senders of authentic messages that may be recordings (Unproven). A challenge is an ordinary
 /// ping whose sequence number nobody can foretell: whoever acknowledges just that number is present now. The
 /// number of challenges in any time is bounded, so that replayed messages can't make this member a source of
@@ -17,22 +18,23 @@
 
 namespace mothring::cluster {
 
-/// Keeps the challenges under way. No socket or clock: the time comes in, in ms.
+/// The challenges under way. It has no socket or clock.
 class FreshnessChallenges {
 public:
     /// Draws a sequence number uniformly from all of 64 bits, unpredictable to others.
     using DrawSequence = std::function<std::uint64_t()>;
-    /// Whose the address is that a challenge goes to. Strangers, whose address anybody may have chosen, can't
-    /// use up the challenges to members.
+    /// Whose address a challenge goes to. Anybody may have chosen the address of a stranger; strangers have a
+    /// limit of their own, and can't use up the challenges to members.
     enum class Receiver { member, stranger };
 
     static constexpr std::size_t kMostToMembers = 64;    // under way at a time
     static constexpr std::size_t kMostToStrangers = 16;  // under way at a time
 
-    /// `lifetime`: ms for an answer; no address is challenged more often.
+    /// @param lifetime  for an answer; no address is challenged more often.
     FreshnessChallenges(Millis lifetime, DrawSequence draw) : lifetime_(lifetime), draw_(std::move(draw)) {}
 
-    /// The sequence number of the ping to send to `name` at `address`. None: a limit is reached.
+    /// Begins a challenge to `name` at `address`.
+    /// @return the sequence number of the ping to send. None: a limit is reached.
     std::optional<std::uint64_t> issue(Millis now, const std::string& name, const std::string& address,
                                        Receiver receiver) {
         std::erase_if(challenges_, [&](const auto& entry) { return entry.second.ends_at <= now; });
--- a/src/cluster/known_lives.hpp
+++ b/src/cluster/known_lives.hpp
@@ -1,7 +1,8 @@
-/// Replay protection: which lives of one name have been met, and which counters of each were taken. A life is
-/// a number that its process makes from its wall clock, so that a later one is mostly greater, and a greater
-/// one is taken at once. One that is not may be a recording, or a process whose clock was stepped back: it is
-/// taken only when it was proven to be present.
+/// @file
+/// Replay protection: which lives of one name have been met, and which counters of each were taken. A process
+/// makes its life from its wall clock, so that a later life is mostly greater, and a greater one is taken at
+/// once. A lesser one that is unknown may be a recording, or a process whose clock was stepped back: it is
+/// taken only after it was proven to be present.
 #pragma once
 
 #include <algorithm>
@@ -26,7 +27,8 @@
         return window;
     }
 
-    /// Whether the counter is new. It is not the next time, nor is one that is kSize below the highest.
+    /// Takes a counter.
+    /// @return whether it is new: not taken before, and less than kSize below the highest.
     bool take(std::uint64_t counter) {
         if (counter > highest_) {
             advance(counter);
@@ -58,13 +60,14 @@
 /// The lives of one name; a bounded number of them is remembered.
 class KnownLives {
 public:
+    /// On one message.
     enum class Verdict {
         fresh,
-        replayed,  // taken before, or of a life that greater ones have replaced
-        unproven,  // of an unknown life that is not greater than those met before
+        replayed,  ///< Taken before, or of a life that greater ones have replaced.
+        unproven,  ///< Of an unknown life that is not greater than those met before.
     };
 
-    /// Takes the counter where the verdict is `fresh`.
+    /// Judges a message by its life and counter, and takes the counter where the verdict is `fresh`.
     Verdict judge(std::uint64_t life, std::uint64_t counter) {
         if (!kept_.contains(life)) {
             if (needs_proof(life)) return is_replaced(life) ? Verdict::replayed : Verdict::unproven;
@@ -72,8 +75,8 @@
         }
         return kept_.at(life).window.take(counter) ? Verdict::fresh : Verdict::replayed;
     }
-    /// The process of an unproven life has shown by a message with this counter that it is present. Its
-    /// messages are taken from there on; none from before, which may be recordings.
+    /// Takes the messages of an unproven life from now on, as its process has shown to be present.
+    /// @param counter  of the message that has shown it; none from before is taken, as it may be a recording.
     void prove(std::uint64_t life, std::uint64_t counter) {
         if (kept_.contains(life)) return;
         keep(life, {ReplayWindow::starting_after(counter), true});
@@ -95,11 +98,11 @@
     void keep(std::uint64_t life, const Kept& kept) {
         if (kept_.size() == kKept) drop_least();
         kept_.emplace(life, kept);
-        // It never falls, so that no life that was dropped is ever taken again without a proof.
+        /// It never falls, so that no life that was dropped is ever taken again without a proof.
         if (kept_.size() == kKept) proof_limit_ = std::max(proof_limit_, kept_.begin()->first);
     }
-    // One that was proven may have to make place for a recording of a greater life never met before: it is
-    // not remembered as replaced, and may be proven again.
+    /// One that was proven may have to make place for a recording of a greater life never met before: it is
+    /// not remembered as replaced, and may be proven again.
     void drop_least() {
         const auto least = kept_.begin();
         if (!least->second.proven) replaced_.push_back(least->first);
--- a/src/cluster/local_health.hpp
+++ b/src/cluster/local_health.hpp
@@ -1,5 +1,6 @@
-// Lifeguard's local health multiplier (4.1): how far this process has reason to doubt itself, rather than
-// those who do not answer it. Missed answers and being suspected raise it, an answered probe lowers it.
+/// @file
+/// Lifeguard's local health multiplier (4.1): how much reason this process has to doubt itself, rather than
+/// the members that do not answer it.
 #pragma once
 
 #include <algorithm>
@@ -8,20 +9,20 @@
 
 namespace mothring::cluster {
 
+/// A score that missed answers and suspicions of this member raise, and answered probes lower.
 class LocalHealth {
 public:
-    // `most`: the greatest score.
-    explicit LocalHealth(unsigned most) : most_(static_cast<int>(most)) {}
+    explicit LocalHealth(unsigned max_score) : max_score_(static_cast<int>(max_score)) {}
 
-    // Raises the score by `change`, or lowers it, within 0 and the greatest.
-    void adjust(int change) { score_ = std::clamp(score_ + change, 0, most_); }
-    // 0: nothing speaks against this process.
+    /// Adds to the score, within 0 and the greatest.
+    void adjust(int change) { score_ = std::clamp(score_ + change, 0, max_score_); }
+    /// 0: there is no reason for doubt.
     unsigned score() const { return static_cast<unsigned>(score_); }
-    // What the interval and the timeout of probes are multiplied by.
+    /// What the interval and the timeout of probes are multiplied by.
     Millis multiplier() const { return 1 + score_; }
 
 private:
-    int most_;
+    int max_score_;
     int score_ = 0;
 };
 
--- a/src/cluster/member_table.cpp
+++ b/src/cluster/member_table.cpp
@@ -80,7 +80,7 @@
     return found;
 }
 
-// Asked for after every datagram: the present are counted once, and only where somebody is suspected.
+// Called after every datagram: the present are counted once, and only where somebody is suspected.
 Millis MemberTable::next_expiry(const Parameters& parameters) const {
     Millis at = std::numeric_limits<Millis>::infinity();
     const std::vector<const Member*> suspected = suspects();
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 // Of the period: a tick later than this shows that this process was stalled.
-constexpr double kStalledPart = 0.5;
-// Pings in a period to each of those that this member accuses.
-constexpr double kAccusedPings = 2;
+constexpr double kStalledFraction = 0.5;
+// To each of those that this member accuses.
+constexpr double kAccusedPingsPerPeriod = 2;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
     : self_(std::move(self)),
       parameters_(parameters),
       random_(seed),
-      local_health_(parameters.awareness_most),
+      local_health_(parameters.max_awareness),
       prober_(parameters),
       probe_relay_(parameters) {
     self_.state = State::alive;
@@ -28,7 +28,7 @@
 
 View Membership::view() const {
     View view = table_.view();
-    view.stands = !superseded_;
+    view.stands = !superseded();
     return view;
 }
 
@@ -51,8 +51,8 @@
 // ---- Time
 
 Millis Membership::next() const {
-    // Suspicions and probes that were under way stay as they were: nothing of them is to be done any more.
-    if (left_ || superseded_) return anti_entropy_.next();
+    // Suspicions and probes that were under way stay in the tables, but nothing is due for them any more.
+    if (is_silent()) return anti_entropy_.next();
     const Millis at = std::min({prober_.next(), probe_relay_.next(), anti_entropy_.next()});
     const Millis expiry = table_.next_expiry(parameters_);
     if (std::isinf(expiry)) return at;  // nobody is suspected, so nobody is accused
@@ -61,12 +61,15 @@
 }
 
 void Membership::tick(Millis now, Effects& effects) {
-    if (left_ || superseded_) return idle(now);
-    if (!started_) start(now);
+    if (is_silent()) {
+        schedule_idle_tick(now);
+        return;
+    }
+    if (phase_ == Phase::starting) start(now);
     make_up_for_stall(now);
     for (const ProbeRelay::Request& request : probe_relay_.take_nacks(now))
         answer(Message::Kind::nack, request, effects);
-    if (Prober::Probe* const probe = prober_.take_timeout(now)) ask_others(*probe, effects);
+    if (Prober::Probe* const probe = prober_.take_timeout(now)) probe_indirectly(*probe, effects);
     if (const auto failed = prober_.take_failed(now)) fail_probe(now, *failed, effects);
     if (next_accused_ping_ <= now) ping_accused(now, effects);
     if (prober_.due(now)) begin_probe(now, effects);
@@ -75,19 +78,19 @@
 }
 
 void Membership::start(Millis now) {
-    started_ = true;
+    phase_ = Phase::running;
     started_at_ = now;
     // Spread over a period, so that members started together do not probe together.
-    std::uniform_real_distribution<double> part(0, 1);
-    prober_.begin_at(now + parameters_.period * part(random_));
+    std::uniform_real_distribution<double> fraction(0, 1);
+    prober_.begin_at(now + parameters_.period * fraction(random_));
     anti_entropy_.schedule_first(now, parameters_, random_);
     dissemination_.enqueue(self_);
 }
 
-// What others said while this process stood still is unread: nobody is failed for that time.
+// What others sent while this process was stalled is unread: that time is no reason to suspect anybody.
 void Membership::make_up_for_stall(Millis now) {
     const Millis late = now - next();
-    if (late <= parameters_.period * kStalledPart) return;
+    if (late <= parameters_.period * kStalledFraction) return;
     ++counters_.late_ticks;
     local_health_.adjust(1);
     prober_.postpone(late);
@@ -96,8 +99,8 @@
     probe_relay_.postpone(late);
 }
 
-// Nothing is sent any more.
-void Membership::idle(Millis now) {
+// There is nothing to do any more; the ticks go on.
+void Membership::schedule_idle_tick(Millis now) {
     prober_.begin_at(now + parameters_.period);
     anti_entropy_.begin_at(now + parameters_.period);
 }
@@ -110,8 +113,8 @@
     send_ping(probe->target, probe->sequence, effects);
 }
 
-void Membership::ask_others(Prober::Probe& probe, Effects& effects) {
-    for (const std::string& helper : table_.sample(parameters_.indirect, {probe.target}, random_)) {
+void Membership::probe_indirectly(Prober::Probe& probe, Effects& effects) {
+    for (const std::string& helper : table_.sample(parameters_.indirect_probes, {probe.target}, random_)) {
         ++probe.nacks_due;
         send(helper, "", {Message::Kind::ping_request, probe.sequence, self_.name, probe.target, {}},
              effects);
@@ -129,11 +132,10 @@
     apply(now, claim, effects);
 }
 
-// An accuser goes on asking the one it accuses: its accusation goes along (the buddy system), and the answer
-// brings the refutation. Under loss the round's own probes come too seldom for that in a large fleet, and
-// gossip alone may not get through in time both ways.
+// The ping carries the accusation (the buddy system), and its ack the refutation. Under loss the probes of
+// the round are too rare for that in a large fleet, and gossip alone may not get through in time both ways.
 void Membership::ping_accused(Millis now, Effects& effects) {
-    next_accused_ping_ = now + parameters_.period / kAccusedPings;
+    next_accused_ping_ = now + parameters_.period / kAccusedPingsPerPeriod;
     for (const std::string& name : table_.accused_by(self_.name)) send_ping(name, ++sequence_, effects);
 }
 
@@ -155,28 +157,30 @@
 }
 
 void Membership::leave(Millis now, Effects& effects) {
-    if (left_ || superseded_) return;
+    if (is_silent()) return;
     self_.state = State::left;
     self_.by.clear();
     dissemination_.enqueue(self_);
-    const unsigned told = parameters_.transmits(table_.present());
-    for (const std::string& to : table_.sample(told, {}, random_))
-        send(to, "", {Message::Kind::gossip, 0, self_.name, to, {}}, effects);
-    left_ = true;
+    const unsigned count = parameters_.transmits(table_.present());
+    for (const std::string& receiver : table_.sample(count, {}, random_))
+        send(receiver, "", {Message::Kind::gossip, 0, self_.name, receiver, {}}, effects);
+    phase_ = Phase::left;
     prober_.cancel();
-    idle(now);
+    schedule_idle_tick(now);
 }
 
 // ---- Messages
 
-// One that is suspected or taken for dead is told so first of all, so that it can refute.
-void Membership::send(const std::string& to, const std::string& address, Message message, Effects& effects) {
-    const Member* const receiver = table_.find(to);
-    const bool doubted =
-        receiver && (receiver->claim.state == State::suspect || receiver->claim.state == State::dead);
-    message.claims = dissemination_.piggyback(doubted ? &receiver->claim : nullptr, parameters_.room,
-                                              parameters_.transmits(table_.present()));
-    effects.sends.push_back({to, address, std::move(message)});
+// The claim that the receiver is suspect or dead goes first, so that it can refute.
+void Membership::send(const std::string& receiver, const std::string& address, Message message,
+                      Effects& effects) {
+    const Member* const member = table_.find(receiver);
+    const bool is_doubted =
+        member && (member->claim.state == State::suspect || member->claim.state == State::dead);
+    message.claims =
+        dissemination_.piggyback(is_doubted ? &member->claim : nullptr, parameters_.max_claim_bytes,
+                                 parameters_.transmits(table_.present()));
+    effects.sends.push_back({receiver, address, std::move(message)});
 }
 
 void Membership::send_ping(const std::string& target, std::uint64_t sequence, Effects& effects) {
@@ -189,14 +193,14 @@
 }
 
 void Membership::receive(Millis now, const Message& message, const std::string& address, Effects& effects) {
-    if (superseded_ || message.from == self_.name) {
+    if (superseded() || message.from == self_.name) {
         // Another process with this member's name: only what it claims of the name counts.
         for (const Claim& claim : message.claims)
             if (claim.name == self_.name) apply_to_self(now, claim, effects);
         return;
     }
     for (const Claim& claim : message.claims) apply(now, claim, effects);
-    if (left_ || superseded_) return;
+    if (is_silent()) return;
     switch (message.kind) {
         case Message::Kind::ping:
             if (message.target == self_.name)
@@ -225,10 +229,12 @@
 }
 
 void Membership::acknowledge(std::uint64_t sequence, Effects& effects) {
-    if (prober_.acknowledge(sequence))
+    if (prober_.acknowledge(sequence)) {
         local_health_.adjust(-1);
-    else if (const auto request = probe_relay_.acknowledge(sequence))
-        answer(Message::Kind::ack, *request, effects);
+        return;
+    }
+    const auto request = probe_relay_.acknowledge(sequence);
+    if (request) answer(Message::Kind::ack, *request, effects);
 }
 
 }  // namespace mothring::cluster
--- a/src/cluster/membership_claims.cpp
+++ b/src/cluster/membership_claims.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-// Intervals between exchanges of whole states in which claims of an earlier life still come up.
+// Intervals between state exchanges in which claims of an earlier life may still arrive.
 constexpr double kSettlingSyncs = 2;
 
 }  // namespace
 
-void Membership::merge(Millis now, const std::vector<Claim>& claims, const std::string& by,
+void Membership::merge(Millis now, const std::vector<Claim>& claims, const std::string& sender,
                        Effects& effects) {
     for (Claim claim : claims) {
         if (claim.state == State::dead) {
             if (!member(claim.name)) continue;
             claim.state = State::suspect;
-            claim.by = by;
+            claim.by = sender;
         }
         apply(now, claim, effects);
     }
-    joined_ = true;
+    has_merged_ = true;
 }
 
 void Membership::apply(Millis now, const Claim& claim, Effects& effects) {
@@ -48,13 +48,13 @@
 // ---- This member
 
 void Membership::apply_to_self(Millis now, const Claim& claim, Effects& effects) {
-    if (left_ || superseded_ || claim.incarnation < self_.incarnation) return;
+    if (is_silent() || claim.incarnation < self_.incarnation) return;
     if (claim.state != State::alive) return refute(claim, effects);
     if (claim.life != self_.life) contest_name(now, claim, effects);
 }
 
-// Another life has the name. An earlier one is over; the same holds where both came to the same incarnation,
-// for the lesser life.
+// Another life has the name. An earlier one is over; of two with the same incarnation the lesser life is
+// over.
 void Membership::contest_name(Millis now, const Claim& claim, Effects& effects) {
     const bool wins_tie = claim.incarnation == self_.incarnation && self_.life > claim.life;
     if (wins_tie || is_earlier_life(now, claim)) {
@@ -62,23 +62,24 @@
         dissemination_.enqueue(self_);
         return;
     }
-    superseded_ = true;
+    phase_ = Phase::superseded;
     prober_.cancel();
     effects.changes.push_back({"superseded", self_.name, claim.incarnation, ""});
 }
 
-// Before this life has met anybody it is the later one. Afterwards others may still tell of an earlier one
-// that those met first knew nothing of, and whose incarnation or life is greater where the wall clock was
-// stepped back in between: this process holds the address of that one now. That is not so for ever, as one
-// advertised address may be handed on from process to process; so long after the start, whole states have
-// reached everybody.
+// Before this life has merged any state it is the later one. Afterwards claims of an earlier life may still
+// arrive, through members that were not merged with at first. Where the wall clock was stepped back in
+// between, the earlier life has the greater incarnation or life; but it had the address that this process has
+// now. This holds for a limited time only, as an advertised address may pass from process to process; by then
+// complete states have reached everybody.
 bool Membership::is_earlier_life(Millis now, const Claim& claim) const {
-    if (!joined_) return true;
+    if (!has_merged_) return true;
     const Millis settled_at = started_at_ + kSettlingSyncs * sync_periods() * parameters_.period;
-    return claim.udp == self_.udp && (!started_ || now < settled_at);
+    return claim.udp == self_.udp && (phase_ == Phase::starting || now < settled_at);
 }
 
-// Accused, or taken for an earlier life that died: alive, and later (SWIM 4.2).
+// Answers a claim that this member, or an earlier life of it, is not alive, by a greater incarnation
+// (SWIM 4.2).
 void Membership::refute(const Claim& claim, Effects& effects) {
     self_.incarnation = claim.incarnation + 1;
     if (claim.life == self_.life) {
@@ -91,9 +92,9 @@
 
 // ---- The others
 
-// One never heard of that is no more is nobody's loss.
+// A member that is not known and gone already is ignored.
 void Membership::add(Millis now, const Claim& claim, Effects& effects) {
-    if (!is_present(claim.state) || claim.udp.empty() || table_.size() >= parameters_.members_most) return;
+    if (!is_present(claim.state) || claim.udp.empty() || table_.size() >= parameters_.max_members) return;
     Member& member = table_.insert({claim, now});
     member.claim.state = State::alive;
     prober_.add(claim.name, random_);
@@ -104,10 +105,10 @@
 
 void Membership::revive(Millis now, Member& member, const Claim& claim, Effects& effects) {
     const State before = member.claim.state;
-    const bool reborn = claim.life != member.claim.life;
-    if (before == State::suspect && !reborn) ++counters_.refuted;
+    const bool is_other_life = claim.life != member.claim.life;
+    if (before == State::suspect && !is_other_life) ++counters_.refuted;
     member = Member{claim, now};
-    if (!is_present(before) || reborn)
+    if (!is_present(before) || is_other_life)
         effects.changes.push_back({"rejoined", claim.name, claim.incarnation, ""});
     else if (before == State::suspect)
         effects.changes.push_back({"refuted", claim.name, claim.incarnation, ""});
--- a/src/cluster/message_verifier.cpp
+++ b/src/cluster/message_verifier.cpp
@@ -46,12 +46,12 @@
     const std::string& self = in_.membership.self().name;
     if (in_.membership.is_silent() || name == self) return;
     const auto known = in_.addresses.udp(name);
-    const auto to = sender ? sender : known;
-    if (!to) return;
+    const auto address = sender ? sender : known;
+    if (!address) return;
     using Receiver = FreshnessChallenges::Receiver;
-    const Receiver receiver = to == known ? Receiver::member : Receiver::stranger;
-    const auto sequence = challenges_.issue(in_.clock.now(), name, net::written(*to), receiver);
-    if (sequence) hooks_.send({Message::Kind::ping, *sequence, self, name, {}}, *to);
+    const Receiver receiver = address == known ? Receiver::member : Receiver::stranger;
+    const auto sequence = challenges_.issue(in_.clock.now(), name, net::written(*address), receiver);
+    if (sequence) hooks_.send({Message::Kind::ping, *sequence, self, name, {}}, *address);
 }
 
 // From the system's own source, as no challenge may be foretold from earlier ones.
--- a/src/cluster/message_verifier.hpp
+++ b/src/cluster/message_verifier.hpp
@@ -36,7 +36,7 @@
     struct Hooks {
         /// @param from  the address of the sender, or "tcp".
         std::function<void(Rejection, const std::string& from)> rejected;
-        std::function<void(const Message&, const Udp::endpoint& to)> send;
+        std::function<void(const Message&, const Udp::endpoint& address)> send;
     };
 
     /// @param lifetime  for an answer to a challenge.
--- a/src/cluster/parameters.cpp
+++ b/src/cluster/parameters.cpp
@@ -7,27 +7,27 @@
 
 Millis Parameters::suspicion_timeout(std::size_t members, unsigned confirmations) const {
     const double log = std::max(1.0, std::log10(std::max<double>(1, static_cast<double>(members))));
-    const Millis least = suspicion * log * period;
-    const Millis most = suspicion_most * least;
+    const Millis least = suspicion_factor * log * period;
+    const Millis most = max_suspicion_factor * least;
     const unsigned wanted = confirmations_wanted(members);
     if (wanted == 0) return least;
-    const double part = std::log(confirmations + 1.0) / std::log(wanted + 1.0);
-    return std::max(least, most - (most - least) * part);
+    const double fraction = std::log(confirmations + 1.0) / std::log(wanted + 1.0);
+    return std::max(least, most - (most - least) * fraction);
 }
 
 // As many as can come from others than the accuser, the suspect and this member, two at most in a small
 // fleet (memberlist's documentation: the multiplier less two).
 unsigned Parameters::confirmations_wanted(std::size_t members) const {
-    const auto wanted = static_cast<unsigned>(std::max(0.0, suspicion - 2));
+    const auto wanted = static_cast<unsigned>(std::max(0.0, suspicion_factor - 2));
     return members < wanted + 2 ? 0 : wanted;
 }
 
 unsigned Parameters::transmits(std::size_t members) const {
-    return retransmit * static_cast<unsigned>(std::ceil(std::log10(static_cast<double>(members) + 1)));
+    return retransmit_factor * static_cast<unsigned>(std::ceil(std::log10(static_cast<double>(members) + 1)));
 }
 
 double Parameters::sync_periods(std::size_t members) const {
-    return std::max(sync_least_periods, static_cast<double>(members) / 2);
+    return std::max(min_sync_periods, static_cast<double>(members) / 2);
 }
 
 }  // namespace mothring::cluster
--- a/src/cluster/parameters.hpp
+++ b/src/cluster/parameters.hpp
@@ -1,35 +1,61 @@
-// The constants of the protocol, and the timeouts and limits that follow from them and the size of the fleet.
+/// @file
+/// The constants of the protocol, and the timeouts and limits that follow from them and the size of the
+/// fleet.
 #pragma once
 
 #include <cstddef>
 
-#include "mothring/balancer.hpp"
+#include "mothring/types.hpp"
 
 namespace mothring::cluster {
 
+constexpr Millis kDefaultPeriod = 1000;
+constexpr double kDefaultSuspicionFactor = 4;
+constexpr double kDefaultMaxSuspicionFactor = 6;
+constexpr unsigned kDefaultMaxAwareness = 8;
+constexpr std::size_t kDefaultMaxClaimBytes = 1000;
+constexpr std::size_t kDefaultMaxMembers = 1024;
+constexpr double kDefaultStablePeriods = 600;
+constexpr double kDefaultReconnectPeriods = 86400;
+constexpr double kDefaultMinSyncPeriods = 8;
+
+/// The protocol's constants. Names in parentheses are those of the papers.
 struct Parameters {
-    Millis period = 1000;              // of probes, SWIM's T'
-    double timeout_part = 0.5;         // of the period, for a direct ack; the rest is for the indirect ones
-    unsigned indirect = 3;             // members asked to probe, SWIM's k
-    double suspicion = 4;              // least timeout: this times log10 N periods (Lifeguard's alpha),
-    double suspicion_most = 6;         // and the greatest this times the least (beta)
-    unsigned retransmit = 4;           // a claim is passed on this times log10(N+1) times (SWIM's lambda)
-    unsigned awareness_most = 8;       // of Lifeguard's local health multiplier
-    std::size_t room = 1000;           // bytes of claims in a message
-    std::size_t members_most = 1024;   // records held
-    double stable_periods = 600;       // for so long one that died counts as expected,
-    double reconnect_periods = 86400;  // and is tried for to heal a partition
-    double sync_least_periods = 8;     // between full syncs; N/2 where that is more, so that a member's
-                                       // traffic does not grow with N
+    /// Of the probes (SWIM's T').
+    Millis period = kDefaultPeriod;
+    /// Of the period, for a direct ack; the rest is for indirect probes.
+    double timeout_fraction = 0.5;
+    /// Members that are asked to probe on this one's behalf (SWIM's k).
+    unsigned indirect_probes = 3;
+    /// The least suspicion timeout is this times log10 N periods (Lifeguard's alpha).
+    double suspicion_factor = kDefaultSuspicionFactor;
+    /// The greatest suspicion timeout is this times the least (Lifeguard's beta).
+    double max_suspicion_factor = kDefaultMaxSuspicionFactor;
+    /// A claim is passed on this times log10(N+1) times (SWIM's lambda).
+    unsigned retransmit_factor = 4;
+    /// Of the local health score (Lifeguard).
+    unsigned max_awareness = kDefaultMaxAwareness;
+    /// Of the claims in a message.
+    std::size_t max_claim_bytes = kDefaultMaxClaimBytes;
+    /// Records held.
+    std::size_t max_members = kDefaultMaxMembers;
+    /// For so long a member that died counts as expected, and one that left is remembered.
+    double stable_periods = kDefaultStablePeriods;
+    /// For so long a member that died is called, to heal a partition.
+    double reconnect_periods = kDefaultReconnectPeriods;
+    /// Between state exchanges, at the least. Of more than twice as many members N each waits N/2 periods, so
+    /// that its traffic does not grow with N.
+    double min_sync_periods = kDefaultMinSyncPeriods;
 
-    // The suspicion timeout in ms (Lifeguard, 4.2), with so many present members, this one included, and
-    // confirmations by others than the first accuser: it falls from the greatest to the least as they come.
+    /// The suspicion timeout (Lifeguard, 4.2); it falls from the greatest to the least with confirmations.
+    /// @param members  present, this one included.
+    /// @param confirmations  by others than the first accuser.
     Millis suspicion_timeout(std::size_t members, unsigned confirmations) const;
-    // Confirmations that bring the timeout to its least; 0 where the fleet is too small for any.
+    /// Confirmations that bring the timeout to its least; 0 where the fleet is too small for any.
     unsigned confirmations_wanted(std::size_t members) const;
-    // Messages that a claim is piggybacked on before it is dropped.
+    /// Messages that a claim is piggybacked on before it is dropped.
     unsigned transmits(std::size_t members) const;
-    // Periods between exchanges of the whole state, on average.
+    /// Periods between state exchanges, on average.
     double sync_periods(std::size_t members) const;
 };
 
--- a/src/cluster/probe_relay.cpp
+++ b/src/cluster/probe_relay.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 // Of the time for an ack: the nack still reaches the asker before the probe fails there.
-constexpr double kNackPart = 0.8;
+constexpr double kNackFraction = 0.8;
 
 }  // namespace
 
 ProbeRelay::ProbeRelay(const Parameters& parameters)
     : period_(parameters.period),
-      nack_after_(parameters.period * parameters.timeout_part * kNackPart),
-      most_(parameters.members_most) {}
+      nack_after_(parameters.period * parameters.timeout_fraction * kNackFraction),
+      max_pending_(parameters.max_members) {}
 
 void ProbeRelay::add(Millis now, Request request) {
     pending_.push_back({std::move(request), now + nack_after_, now + period_});
@@ -25,7 +25,7 @@
 Millis ProbeRelay::next() const {
     Millis at = std::numeric_limits<Millis>::infinity();
     for (const Pending& pending : pending_)
-        at = std::min(at, pending.nacked ? pending.ends_at : pending.nack_at);
+        at = std::min(at, pending.nack_sent ? pending.ends_at : pending.nack_at);
     return at;
 }
 
@@ -39,8 +39,8 @@
 std::vector<ProbeRelay::Request> ProbeRelay::take_nacks(Millis now) {
     std::vector<Request> due;
     for (Pending& pending : pending_) {
-        if (pending.nacked || pending.nack_at > now) continue;
-        pending.nacked = true;
+        if (pending.nack_sent || pending.nack_at > now) continue;
+        pending.nack_sent = true;
         due.push_back(pending.request);
     }
     std::erase_if(pending_, [&](const Pending& pending) { return pending.ends_at <= now; });
--- a/src/cluster/probe_relay.hpp
+++ b/src/cluster/probe_relay.hpp
@@ -1,6 +1,5 @@
-// Indirect probes (SWIM 4.1, ping-req): the pings this member makes on behalf of others, until the ack that
-// is handed on or the end of the period. Halfway the asker is told by a nack that this member at least is
-// there (Lifeguard 4.1).
+/// @file
+/// Indirect probes (SWIM 4.1, ping-req): the pings that this member sends on behalf of others.
 #pragma once
 
 #include <cstddef>
@@ -13,36 +12,49 @@
 
 namespace mothring::cluster {
 
+/// Holds a request until its ack comes, which is forwarded, or its period is over. Before that its asker is
+/// sent a nack, which shows that this member at least is present (Lifeguard 4.1).
 class ProbeRelay {
 public:
+    /// An indirect probe on behalf of another member.
     struct Request {
-        std::uint64_t sequence = 0;        // of this member's ping
-        std::uint64_t asked_sequence = 0;  // of the ping_request: an answer's
-        std::string asker, address;        // whom to answer, and where
+        /// Of this member's ping.
+        std::uint64_t sequence = 0;
+        /// Of the ping_request, and so of its answer.
+        std::uint64_t asked_sequence = 0;
+        /// Whom to answer.
+        std::string asker;
+        /// Where to answer.
+        std::string address;
     };
 
     explicit ProbeRelay(const Parameters& parameters);
 
-    // Whether another request may be taken on: there is a limit, so that memory is bounded.
-    bool full() const { return pending_.size() >= most_; }
+    /// Whether no further request may be added, so that memory is bounded.
+    bool full() const { return pending_.size() >= max_pending_; }
     void add(Millis now, Request request);
-    // When a nack is due or a request ends; infinite where there is none.
+    /// When a nack is due or a request ends; infinite where there is no request.
     Millis next() const;
-    // This process did not listen for so long: the probed may have answered.
+    /// Adds the time for which this process did not listen.
     void postpone(Millis stalled);
-    // Those whose asker is to be sent a nack by `now`; the ones whose time is over are dropped.
+    /// Drops the requests whose time is over.
+    /// @return those whose nack is due.
     std::vector<Request> take_nacks(Millis now);
-    // The request whose ping was acknowledged; it is over. None: not a relayed ping, or too late.
+    /// Ends the request whose ping was acknowledged.
+    /// @return the request. None: no such ping is under way.
     std::optional<Request> acknowledge(std::uint64_t sequence);
 
 private:
     struct Pending {
         Request request;
-        Millis nack_at = 0, ends_at = 0;
-        bool nacked = false;
+        Millis nack_at = 0;
+        Millis ends_at = 0;
+        bool nack_sent = false;
     };
-    Millis period_, nack_after_;
-    std::size_t most_;
+
+    Millis period_;
+    Millis nack_after_;
+    std::size_t max_pending_;
     std::vector<Pending> pending_;
 };
 
--- a/src/cluster/settings.hpp
+++ b/src/cluster/settings.hpp
@@ -1,4 +1,5 @@
-// What the membership is told by the options file.
+/// @file
+/// The settings of the membership.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,17 +16,23 @@
 using Tcp = boost::asio::ip::tcp;
 using Udp = boost::asio::ip::udp;
 
-// [cluster] of the options file. Every period-based figure of Parameters follows `period`.
+/// The [cluster] table of the options file.
 struct Settings {
-    Udp::endpoint bind;                    // UDP, and TCP at the same port; port 0: of the system's choice
-    std::optional<std::string> advertise;  // ADDRESS:PORT told to others; absent: where it listens
-    std::vector<Tcp::endpoint> seeds;      // members to join by, and to try while it is alone
-    std::string key;                       // the fleet's, at least Codec::kShortestKey bytes
+    /// Where it listens, by UDP and by TCP; port 0: of the system's choice.
+    Udp::endpoint bind;
+    /// ADDRESS:PORT as told to others; absent: where it listens.
+    std::optional<std::string> advertise;
+    /// Members to join by.
+    std::vector<Tcp::endpoint> seeds;
+    /// The fleet's shared key, at least Codec::kShortestKey bytes.
+    std::string key;
+    /// Addresses of a member; absent: where it says that it listens.
     struct Route {
         std::optional<Udp::endpoint> udp;
         std::optional<Tcp::endpoint> tcp;
     };
-    std::map<std::string, Route> routes;  // members reached elsewhere than where they say they listen
+    /// Members that are reached elsewhere than where they say that they listen, by name.
+    std::map<std::string, Route> routes;
     Parameters parameters;
 };
 
--- a/src/cluster/suspicion.hpp
+++ b/src/cluster/suspicion.hpp
@@ -1,5 +1,6 @@
-// A suspicion and its timer (SWIM 4.2): a member that did not answer is declared dead only when the timeout
-// runs out without a refutation. Accusations by others shorten the timeout (Lifeguard 4.2).
+/// @file
+/// A suspicion and its timer (SWIM 4.2): a member that did not answer is declared dead only when the timeout
+/// runs out without a refutation. Accusations by others shorten the timeout (Lifeguard 4.2).
 #pragma once
 
 #include <cstddef>
@@ -10,17 +11,21 @@
 
 namespace mothring::cluster {
 
+/// Of one member.
 class Suspicion {
 public:
+    /// By its first accuser.
     Suspicion(const std::string& accuser, Millis now) : accusers_{accuser}, started_at_(now) {}
 
-    // Another accuser: whether it is a new one and one of the `wanted` confirmations that shorten the
-    // timeout.
+    /// Takes another accuser.
+    /// @param wanted  confirmations that shorten the timeout.
+    /// @return whether the accuser is new and its confirmation is one of those.
     bool confirm(const std::string& accuser, unsigned wanted);
     bool accused_by(const std::string& name) const { return accusers_.contains(name); }
-    // This process did not listen for so long: the suspect gets the time back.
+    /// Gives the suspect back the time for which this process did not listen.
     void postpone(Millis stalled) { started_at_ += stalled; }
-    // When the suspect is to be declared dead, in a fleet of so many present members.
+    /// When the suspect is to be declared dead.
+    /// @param members  present in the fleet.
     Millis expires_at(const Parameters& parameters, std::size_t members) const;
 
 private:
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -55,9 +55,9 @@
     }
     cluster::Parameters& p = s.parameters;
     table.number_into(p.period, "period_ms", 10.0, 60000.0);
-    table.number_into(p.suspicion, "suspicion", 1.0, 100.0);
-    table.integer_into(p.indirect, "indirect", 0, 16);
-    table.integer_into(p.retransmit, "retransmit", 1, 16);
+    table.number_into(p.suspicion_factor, "suspicion", 1.0, 100.0);
+    table.integer_into(p.indirect_probes, "indirect", 0, 16);
+    table.integer_into(p.retransmit_factor, "retransmit", 1, 16);
     for (TomlTable& peer : table.tables("peers")) {
         const auto name = peer.text("name");
         if (!name) peer.fail("name", "is missing");
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -244,7 +244,7 @@
         EXPECT_FALSE(fleet.at(i).view().quorum()) << i;
     }
     fleet.passes = [](std::size_t, std::size_t) { return true; };
-    fleet.run(1.25 * parameters.sync_least_periods * kPeriod + 3 * 4 * kPeriod);
+    fleet.run(1.25 * parameters.min_sync_periods * kPeriod + 3 * 4 * kPeriod);
     EXPECT_TRUE(all_see(fleet, 16));
     for (std::size_t i = 0; i < 16; ++i) EXPECT_TRUE(fleet.at(i).view().quorum()) << i;
 }
