--- a/src/net/http_message.hpp
+++ b/src/net/http_message.hpp
@@ -7,6 +7,9 @@
 
 namespace mothring::net {
 
+/// HTTP/1.1, as Beast numbers versions.
+constexpr unsigned kHttpVersion = 11;
+
 constexpr std::size_t kBodyLimit = 64 * 1024;             // of what is kept whole
 constexpr std::uint64_t kLargestBody = 32 * 1024 * 1024;  // of what is passed on
 constexpr std::uint32_t kHeaderLimit = 16 * 1024;
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -599,7 +599,7 @@
     if (!config_.may_probe || at == servers_.end() || !at->second.listed)
         return give(HealthCheckEnded{server, Outcome::not_sent, 0});
     UpstreamPool::Request ping;
-    ping.attempt = false;
+    ping.is_attempt = false;
     ping.message.method(http::verb::get);
     ping.message.target("/ping");
     ping.message.set(http::field::host, at->second.name);
