--- a/src/main.cpp
+++ b/src/main.cpp
@@ -77,7 +77,7 @@
             io.run();
         } catch (const std::exception& error) {  // what one connection threw does not end the others
             net::log(net::LogLevel::err, "io.failed", {{"error", error.what()}});
-            sidecar.note_failure();
+            sidecar.handle_failure();
         }
 }
 
--- /dev/null
+++ b/src/node/hot_restart_monitor.hpp
@@ -0,0 +1,39 @@
+/// @file
+/// Watches whether a second process of this sidecar runs, as in a hot restart.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <functional>
+#include <string>
+
+#include "node/hot_restart_lock.hpp"
+#include "node/lifetime_guard.hpp"
+
+namespace mothring::node {
+
+/// Checks the lock regularly and logs what it finds.
+class HotRestartMonitor {
+public:
+    /// @param may_overlap  another process runs, or may run.
+    using OnChange = std::function<void(bool may_overlap)>;
+
+    /// @param name  tells this sidecar from others on the machine.
+    HotRestartMonitor(boost::asio::io_context& io, const std::string& name, OnChange on_change);
+
+    /// Checks now, and regularly from then on. Reports a change before it returns; at first there is no other
+    /// process.
+    void start();
+
+private:
+    void check();
+    void log_state() const;
+
+    HotRestartLock lock_;
+    OnChange on_change_;
+    OtherProcess other_process_ = OtherProcess::alone;
+    boost::asio::steady_timer timer_;
+    LifetimeGuard guard_;
+};
+
+}  // namespace mothring::node
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -2,69 +2,111 @@
 
 #include <cmath>
 #include <nlohmann/json.hpp>
+#include <utility>
 
 namespace mothring::node {
 
-void Metrics::ended(std::size_t class_index, Ending ending) {
-    Class& c = classes.at(class_index);
-    ++(ending == Ending::served ? c.served : ending == Ending::refused ? c.refused : c.failed);
-}
-
 namespace {
 
 using Json = nlohmann::ordered_json;
 
-Json json_of(const cluster::Figures& f) {
-    Json members = Json::array(), rejected = Json::object();
-    for (const cluster::Claim& m : f.members)
-        members.push_back({{"name", m.name},
-                           {"state", cluster::name_of(m.state)},
-                           {"incarnation", m.incarnation},
-                           {"version", m.version}});
-    for (std::size_t i = 0; i < f.rejected.size(); ++i)
-        rejected[cluster::name_of(static_cast<cluster::Rejection>(i))] = f.rejected[i];
-    return {{"alive", f.view.alive},
-            {"suspect", f.view.suspect},
-            {"dead", f.view.dead},
-            {"left", f.view.left},
-            {"expected", f.view.expected},
-            {"quorum", f.view.quorum()},
-            {"incarnation", f.incarnation},
-            {"superseded", f.superseded},
-            {"awareness", f.awareness},
-            {"probes", f.counters.probes},
-            {"probes_failed", f.counters.probes_failed},
-            {"suspicions_raised", f.counters.suspicions},
-            {"suspicions_refuted", f.counters.refuted},
-            {"deaths_declared", f.counters.deaths},
-            {"accused", f.counters.accused},
-            {"late_ticks", f.counters.late_ticks},
-            {"bytes_sent", f.bytes_sent},
-            {"bytes_sent_per_s", f.bytes_sent_per_s},
-            {"datagrams_sent", f.datagrams_sent},
-            {"syncs", f.syncs},
-            {"syncs_failed", f.syncs_failed},
-            {"rejected", std::move(rejected)},
-            {"members", std::move(members)}};
+constexpr unsigned kStatusOk = 200;
+constexpr unsigned kStatusTooManyRequests = 429;
+constexpr unsigned kStatusServiceUnavailable = 503;
+
+Json members_json(const cluster::Figures& figures) {
+    Json members = Json::array();
+    for (const cluster::Claim& member : figures.members)
+        members.push_back({{"name", member.name},
+                           {"state", cluster::name_of(member.state)},
+                           {"incarnation", member.incarnation},
+                           {"version", member.version}});
+    return members;
+}
+
+Json rejected_json(const cluster::Figures& figures) {
+    Json rejected = Json::object();
+    for (std::size_t reason = 0; reason < figures.rejected.size(); ++reason)
+        rejected[cluster::name_of(static_cast<cluster::Rejection>(reason))] = figures.rejected[reason];
+    return rejected;
+}
+
+Json cluster_json(const cluster::Figures& figures) {
+    return {{"alive", figures.view.alive},
+            {"suspect", figures.view.suspect},
+            {"dead", figures.view.dead},
+            {"left", figures.view.left},
+            {"expected", figures.view.expected},
+            {"quorum", figures.view.quorum()},
+            {"incarnation", figures.incarnation},
+            {"superseded", figures.superseded},
+            {"awareness", figures.awareness},
+            {"probes", figures.counters.probes},
+            {"probes_failed", figures.counters.probes_failed},
+            {"suspicions_raised", figures.counters.suspicions},
+            {"suspicions_refuted", figures.counters.refuted},
+            {"deaths_declared", figures.counters.deaths},
+            {"accused", figures.counters.accused},
+            {"late_ticks", figures.counters.late_ticks},
+            {"bytes_sent", figures.bytes_sent},
+            {"bytes_sent_per_s", figures.bytes_sent_per_s},
+            {"datagrams_sent", figures.datagrams_sent},
+            {"syncs", figures.syncs},
+            {"syncs_failed", figures.syncs_failed},
+            {"rejected", rejected_json(figures)},
+            {"members", members_json(figures)}};
+}
+
+Json requests_json(const Metrics& metrics) {
+    Json requests = Json::object();
+    for (const Metrics::Class& counts : metrics.classes)
+        requests[counts.name] = {
+            {"served", counts.served}, {"refused", counts.rejected}, {"failed", counts.failed}};
+    return requests;
+}
+
+Json list_json(const Discovery::State& list) {
+    return {{"version", list.version},
+            {"age_ms", list.age ? Json(std::round(*list.age)) : Json()},
+            {"failing", list.failing},
+            {"calls", list.calls}};
 }
 
 }  // namespace
 
+RequestOutcome outcome_of_status(unsigned status) {
+    if (status == kStatusOk) return RequestOutcome::served;
+    const bool is_rejection = status == kStatusTooManyRequests || status == kStatusServiceUnavailable;
+    return is_rejection ? RequestOutcome::rejected : RequestOutcome::failed;
+}
+
+Metrics::Metrics(const std::vector<std::string>& class_names) {
+    for (const std::string& name : class_names) classes.push_back({name});
+}
+
+void Metrics::count(std::size_t class_index, RequestOutcome outcome) {
+    Class& counts = classes.at(class_index);
+    switch (outcome) {
+        case RequestOutcome::served:
+            ++counts.served;
+            break;
+        case RequestOutcome::rejected:
+            ++counts.rejected;
+            break;
+        case RequestOutcome::failed:
+            ++counts.failed;
+            break;
+    }
+}
+
 std::string render(const Metrics& metrics) {
-    Json requests = Json::object();
-    for (const Metrics::Class& c : metrics.classes)
-        requests[c.name] = {{"served", c.served}, {"refused", c.refused}, {"failed", c.failed}};
-    Json all{{"requests", std::move(requests)},
+    Json all{{"requests", requests_json(metrics)},
              {"attempts", metrics.attempts},
              {"in_flight", metrics.in_flight},
-             {"scan_servers_known", metrics.known},
-             {"scan_servers_excluded", metrics.excluded},
-             {"list",
-              {{"version", metrics.list.version},
-               {"age_ms", metrics.list.age ? Json(std::round(*metrics.list.age)) : Json()},
-               {"failing", metrics.list.failing},
-               {"calls", metrics.list.calls}}}};
-    if (metrics.cluster) all["cluster"] = json_of(*metrics.cluster);
+             {"scan_servers_known", metrics.servers_listed},
+             {"scan_servers_excluded", metrics.servers_unavailable},
+             {"list", list_json(metrics.list)}};
+    if (metrics.cluster) all["cluster"] = cluster_json(*metrics.cluster);
     return all.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
--- /dev/null
+++ b/src/node/request_forwarder.cpp
@@ -0,0 +1,281 @@
+#include "node/request_forwarder.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <string>
+#include <utility>
+
+#include "net/log.hpp"
+#include "node/forwarded_message.hpp"
+#include "node/request_classification.hpp"
+
+namespace mothring::node {
+
+namespace http = boost::beast::http;
+
+// ---- Requests ---------------------------------------------------------------------------------------------
+
+void RequestForwarder::on_request(DownstreamListener::IncomingRequest incoming) {
+    const Site& site = parts_.config.site;
+    RequestArrived event;
+    event.id = incoming.id;
+    event.class_index = site.class_index(incoming.class_name);
+    // What is not a request of a class served here is answered here: no server has a use for it, and nobody
+    // knows whether it may run twice.
+    const auto& classes = site.settings.classes;
+    if (event.class_index >= classes.size())
+        return parts_.listener->respond(incoming.id, empty_response(http::status::not_found));
+    if (!has_form_of_class(classes[event.class_index], *incoming.message, incoming.body != nullptr))
+        return parts_.listener->respond(incoming.id, empty_response(http::status::bad_request));
+    if (!incoming.tenant.empty()) event.tenant = site.tenant_index(incoming.tenant);
+    event.time_left = parts_.shutdown.limit(incoming.time_left);
+    event.effort = incoming.effort;
+    event.is_retry = incoming.is_retry;
+    event.body_incomplete = incoming.body && !incoming.body->whole();
+    event.affinity_hash = affinity_hash_of(parts_.config.affinity, incoming.class_name, *incoming.message);
+    Request& request = parts_.requests.add(incoming.id);
+    request.head = std::move(incoming.message);
+    request.body = std::move(incoming.body);
+    request.class_index = event.class_index;
+    request.time_left = incoming.time_left;
+    admit(event);
+}
+
+// An incomplete request is in flight, and its time begins, with its last byte.
+void RequestForwarder::admit(const RequestArrived& arrival) {
+    if (!arrival.body_incomplete) {
+        Request& request = *parts_.requests.find(arrival.id);
+        request.complete_at = parts_.clock.now();
+        request.deadline = request.complete_at + arrival.time_left;
+        parts_.in_flight.add(arrival.id, arrival.class_index);
+    }
+    parts_.loop.handle(arrival);
+}
+
+void RequestForwarder::on_body_complete(RequestId id) {
+    Request* const request = parts_.requests.find_open(id);
+    if (request == nullptr) return;
+    request->complete_at = parts_.clock.now();
+    const Millis unread_time = parts_.listener->unread_time(id);
+    request->time_left = parts_.shutdown.limit(std::max(0.0, request->time_left - unread_time));
+    request->deadline = request->complete_at + request->time_left;
+    parts_.in_flight.add(id, request->class_index);
+    for (std::uint32_t number = 0; number < request->attempts.size(); ++number)
+        if (request->attempts[number].in_flight)
+            parts_.loop.schedule(request->deadline, AttemptDeadline{id, number});
+    parts_.loop.handle(BodyComplete{id, request->time_left});
+}
+
+// Nothing more goes out for the request from here on, whatever is due. Most clients leave at their deadline:
+// what has timed out by then is not cancelled by them.
+void RequestForwarder::on_client_disconnected(RequestId id) {
+    Request* const request = parts_.requests.find_open(id);
+    if (request == nullptr) return;
+    request->has_ended = true;
+    const std::size_t attempt_count = request->attempts.size();
+    if (parts_.clock.now() >= request->deadline) time_out_attempts(id, attempt_count);
+    parts_.loop.handle(ClientDisconnected{id});
+    stop_attempts_without_client(id, attempt_count);
+    parts_.requests.forget_if_done(id);
+}
+
+void RequestForwarder::reject(const RejectRequest& rejected) {
+    respond(rejected.id, rejection(rejected.retry_after));
+}
+
+void RequestForwarder::fail(const FailRequest& failed) {
+    const Request* const request = parts_.requests.find(failed.id);
+    const bool is_late = request != nullptr && parts_.clock.now() >= request->deadline;
+    respond(failed.id, empty_response(is_late ? http::status::gateway_timeout : http::status::bad_gateway));
+}
+
+void RequestForwarder::time_out(RequestId id) {
+    give_response(id, empty_response(http::status::gateway_timeout));
+    on_client_disconnected(id);
+}
+
+void RequestForwarder::respond(RequestId id, DownstreamListener::Response response) {
+    Request* const request = parts_.requests.find_open(id);
+    if (request == nullptr) return;
+    request->has_ended = true;
+    give_response(id, std::move(response));
+    parts_.requests.forget_if_done(id);
+}
+
+void RequestForwarder::give_response(RequestId id, DownstreamListener::Response response) {
+    parts_.in_flight.set_outcome(id, parts_.requests.at(id).class_index,
+                                 outcome_of_status(response.result_int()));
+    parts_.listener->respond(id, std::move(response));
+}
+
+// ---- Attempts ---------------------------------------------------------------------------------------------
+
+void RequestForwarder::send(const SendAttempt& send) {
+    Request* const request = parts_.requests.find(send.id);
+    if (request == nullptr) return;
+    const AttemptKey key{send.id, static_cast<std::uint32_t>(request->attempts.size())};
+    const Millis deadline = deadline_of(send, *request);
+    request->attempts.push_back({0, send.server, parts_.clock.now(), true});
+    parts_.endpoints.add_attempt(send.server);
+    if (request->body && !request->body->kept()) return end_attempt(key, Outcome::not_sent);
+    UpstreamPool::Request outgoing = upstream_request(send, *request);
+    if (!outgoing.may_begin(outgoing.message)) return end_attempt(key, Outcome::not_sent);
+    start_exchange(send, *request, std::move(outgoing));
+    log_chosen(send, *request);
+    if (deadline < kNever) parts_.loop.schedule(deadline, AttemptDeadline{key.request, key.attempt});
+}
+
+UpstreamPool::Request RequestForwarder::upstream_request(const SendAttempt& send, const Request& request) {
+    UpstreamPool::Request outgoing;
+    outgoing.message = forwarded_head(*request.head);
+    outgoing.may_begin = [this, send](UpstreamPool::RequestHead& head) { return may_begin(send, head); };
+    outgoing.still_wanted = [this, id = send.id] { return !parts_.listener->has_client_left(id); };
+    return outgoing;
+}
+
+void RequestForwarder::start_exchange(const SendAttempt& send, Request& request,
+                                      UpstreamPool::Request outgoing) {
+    outgoing.body = request.body;
+    if (request.body) request.body->rewind();
+    const AttemptKey key{send.id, static_cast<std::uint32_t>(request.attempts.size() - 1)};
+    request.attempts[key.attempt].exchange = parts_.upstream.start(
+        send.server, std::move(outgoing),
+        [this, key](Outcome outcome, UpstreamPool::Response response) {
+            end_attempt(key, outcome, std::move(response));
+        },
+        [this, key](DownstreamListener::ResponseHead head, std::shared_ptr<net::BodyBuffer> body) {
+            on_response_started(key, std::move(head), std::move(body));
+        });
+}
+
+void RequestForwarder::log_chosen(const SendAttempt& send, const Request& request) const {
+    if (!net::logs(net::LogLevel::debug)) return;
+    net::log(net::LogLevel::debug, "attempt.chosen",
+             {{"request", std::string((*request.head)["Request-Id"])},
+              {"server", parts_.endpoints.name_of(send.server)}});
+}
+
+Millis RequestForwarder::deadline_of(const SendAttempt& send, const Request& request) {
+    return send.deadline > 0 ? std::min(send.deadline, request.deadline) : request.deadline;
+}
+
+// Asked right before a first byte goes out: when the server is chosen, and again when a connection has come
+// up. If the client has left by then, or the server is draining, or it is too late, nothing is sent. The head
+// states the time left by the same reading of the clock, rounded down. The time of an incomplete body counts
+// from its last byte, which may have arrived unread.
+bool RequestForwarder::may_begin(const SendAttempt& send, UpstreamPool::RequestHead& head) {
+    const Request* const request = parts_.requests.find_open(send.id);
+    if (request == nullptr || !parts_.endpoints.contains(send.server)) return false;
+    if (parts_.listener->has_client_left(send.id)) {
+        on_client_disconnected(send.id);
+        return false;
+    }
+    if (!parts_.endpoints.is_active(send.server)) return false;
+    const Millis now = parts_.clock.now();
+    const Millis unread_time = request->is_complete() ? 0 : parts_.listener->unread_time(send.id);
+    const Millis until_deadline = deadline_of(send, *request) - now;
+    const Millis time_left = std::floor(std::min(request->time_left - unread_time, until_deadline));
+    if (time_left < 1 || (send.send_by > 0 && now >= send.send_by)) return false;
+    set_time_left(head, time_left);
+    return true;
+}
+
+void RequestForwarder::cancel(const CancelAttempt& cancel) {
+    const Request* const request = parts_.requests.find(cancel.id);
+    if (request == nullptr || cancel.attempt >= request->attempts.size()) return;
+    const Attempt& attempt = request->attempts[cancel.attempt];
+    if (!attempt.in_flight) return;
+    parts_.upstream.cancel(attempt.exchange);
+    end_attempt({cancel.id, cancel.attempt}, Outcome::cancelled);
+}
+
+void RequestForwarder::on_response_started(const AttemptKey& key, DownstreamListener::ResponseHead head,
+                                           std::shared_ptr<net::BodyBuffer> body) {
+    Request* const request = parts_.requests.find(key.request);
+    if (request == nullptr) return;
+    Attempt& attempt = request->attempts[key.attempt];
+    if (!attempt.in_flight) return;
+    if (request->has_ended) {  // nobody waits for it
+        parts_.upstream.cancel(attempt.exchange);
+        return end_attempt(key, Outcome::completed);
+    }
+    attempt.response_started_at = parts_.clock.now();
+    parts_.in_flight.set_outcome(key.request, request->class_index, RequestOutcome::served);
+    parts_.loop.handle(ResponseStarted{key.request, key.attempt});
+    parts_.listener->stream_response(key.request, std::move(head), std::move(body));
+}
+
+// The duration is the server's: from the request's last byte to the first byte that is forwarded, or to the
+// last byte of a response that is forwarded at once.
+void RequestForwarder::end_attempt(const AttemptKey& key, Outcome outcome, UpstreamPool::Response response) {
+    Request* const request = parts_.requests.find(key.request);
+    if (request == nullptr) return;
+    Attempt& attempt = request->attempts[key.attempt];
+    if (!attempt.in_flight) return;
+    attempt.in_flight = false;
+    const Millis end = attempt.has_response_started() ? attempt.response_started_at : parts_.clock.now();
+    const Millis duration = std::max(0.0, end - std::max(attempt.sent_at, request->complete_at));
+    AttemptEnded event{key.request, key.attempt, outcome, duration, request->has_ended};
+    if (request->body && !request->body->kept() && !request->has_ended)
+        parts_.loop.handle(BodyDiscarded{key.request});
+    const ServerId server = attempt.server;
+    // A server's verdict on the request is the client's response, also that it can't be served.
+    const bool is_final = outcome == Outcome::completed || outcome == Outcome::invalid_request;
+    if (attempt.has_response_started()) {
+        request->has_ended = true;
+        event.request_ended = true;
+    } else if (is_final && !request->has_ended) {
+        DownstreamListener::Response forwarded = forwarded_response(std::move(response));
+        request->has_ended = true;
+        event.request_ended = true;
+        give_response(key.request, std::move(forwarded));
+    }
+    parts_.requests.forget_if_done(key.request);
+    parts_.endpoints.remove_attempt(server);
+    parts_.loop.handle(event);
+    parts_.endpoints.forget_if_gone(server);
+}
+
+void RequestForwarder::on_attempt_deadline(const AttemptDeadline& deadline) {
+    const Request* const request = parts_.requests.find(deadline.request);
+    if (request == nullptr) return;
+    const Attempt& attempt = request->attempts[deadline.attempt];
+    if (!attempt.in_flight || attempt.has_response_started()) return;
+    time_out_attempt({deadline.request, deadline.attempt});
+}
+
+void RequestForwarder::time_out_attempt(const AttemptKey& key) {
+    const ExchangeId exchange = parts_.requests.at(key.request).attempts[key.attempt].exchange;
+    const bool was_written = parts_.upstream.cancel(exchange);
+    end_attempt(key, was_written ? Outcome::timed_out : Outcome::connect_failed);
+}
+
+void RequestForwarder::time_out_attempts(RequestId id, std::size_t count) {
+    for_each_in_flight(id, count, [this](const AttemptKey& key, const Attempt& attempt) {
+        if (!attempt.has_response_started()) time_out_attempt(key);
+    });
+}
+
+// Settings may forbid to withdraw what a server has received completely; that runs on. What it has not, must
+// not be completed any more, and what can't end without the client is not left to time out.
+void RequestForwarder::stop_attempts_without_client(RequestId id, std::size_t count) {
+    for_each_in_flight(id, count, [this](const AttemptKey& key, const Attempt& attempt) {
+        const bool may_have_started = parts_.upstream.may_have_started(attempt.exchange);
+        if (parts_.upstream.is_written(attempt.exchange) && !attempt.has_response_started()) return;
+        parts_.upstream.cancel(attempt.exchange);
+        end_attempt(key, may_have_started ? Outcome::cancelled : Outcome::not_sent);
+    });
+}
+
+// The work may end attempts, and with the last one of them the request is forgotten.
+template <class Work>
+void RequestForwarder::for_each_in_flight(RequestId id, std::size_t count, Work work) {
+    for (std::uint32_t number = 0; number < count; ++number) {
+        const Request* const request = parts_.requests.find(id);
+        if (request == nullptr) return;
+        const Attempt& attempt = request->attempts[number];
+        if (attempt.in_flight) work(AttemptKey{id, number}, attempt);
+    }
+}
+
+}  // namespace mothring::node
--- /dev/null
+++ b/src/node/resource_limits.cpp
@@ -0,0 +1,29 @@
+#include "node/resource_limits.hpp"
+
+#include <algorithm>
+
+namespace mothring::node {
+
+namespace {
+
+constexpr std::size_t kProcesses = 2;  // of one sidecar during a hot restart
+// For files, discovery, peers and the listeners.
+constexpr std::size_t kReservedSockets = 24;
+constexpr std::size_t kMinConnections = 8;  // of clients and to servers together
+constexpr std::size_t kSides = 2;
+constexpr std::size_t kBytesPerMegabyte = 1024UL * 1024;
+constexpr std::size_t kBufferDivisor = 4;  // of the memory allowed, the part for bodies
+
+}  // namespace
+
+std::size_t ResourceLimits::connections_per_side() const {
+    const std::size_t sockets = halved_ ? sockets_ / kProcesses : sockets_;
+    const std::size_t reserved = std::min(sockets, kReservedSockets);
+    return std::max(kMinConnections, sockets - reserved) / kSides;
+}
+
+std::size_t ResourceLimits::buffer_bytes() const {
+    return memory_mb_ * kBytesPerMegabyte / kBufferDivisor / (halved_ ? kProcesses : 1);
+}
+
+}  // namespace mothring::node
--- a/tests/clock_step_test.cpp
+++ b/tests/clock_step_test.cpp
@@ -198,7 +198,7 @@
         const auto began = std::chrono::steady_clock::now();
         TestClient& application = client();
         application.send(bytes);
-        until([&] { return sidecar->records() == 1; });
+        until([&] { return sidecar->request_count() == 1; });
         step = GetParam();
         until([&] { return !application.answers.empty(); });
         EXPECT_EQ(application.answers.at(0).result_int(), status);
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -26,13 +26,13 @@
     start_patient({{"s-held", held.address()}});
     TestClient& c = client();
     c.send(request("deposit", "id-left"));
-    until([&] { return sidecar->records() == 1; });
+    until([&] { return sidecar->request_count() == 1; });
     c.close();
     until([&] { return nothing_out(); });
     held.let_go();
     EXPECT_EQ(ask(request("deposit", "id-stays")).body(), "held");
     EXPECT_EQ(held.in.find("id-left"), std::string::npos) << held.in;
-    EXPECT_EQ(sidecar->records(), 0u);
+    EXPECT_EQ(sidecar->request_count(), 0u);
     EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
 
@@ -43,7 +43,7 @@
     until([&] { return watched_from("41"); });
     TestClient& c = client();
     c.send(request("deposit", "id-1"));
-    until([&] { return sidecar->records() == 1; });
+    until([&] { return sidecar->request_count() == 1; });
     tell(list_json(42, false, {{"s-held", held.address(), "Terminating"}, {"s-b", b.address()}}));
     until([&] { return watched_from("42"); });
     held.let_go();
@@ -92,7 +92,7 @@
         first.send(first.connections.size() - 1, response("503 Full", "", "Not-Started: 1\r\n"));
         until([&] { return nothing_out(); });
         EXPECT_EQ(arrived(), 1u) << early;
-        EXPECT_EQ(sidecar->records(), 0u);
+        EXPECT_EQ(sidecar->request_count(), 0u);
         EXPECT_EQ(sidecar->gauges().requests, 0u);
     }
 }
@@ -112,7 +112,7 @@
         until([&] { return a.requests.size() == 100; });
         for (std::size_t i = 0; i < a.connections.size(); ++i) a.send(i, response("200 OK", "late"));
         for (TestClient* c : all) reset ? c->reset() : c->close();
-        until([&] { return sidecar->records() == 0 && nothing_out(); });
+        until([&] { return sidecar->request_count() == 0 && nothing_out(); });
         EXPECT_EQ(sidecar->gauges().requests, 0u);
         a.script = serve;
         EXPECT_EQ(ask(request("listen", "id-last")).body(), "served");
--- a/tests/deadline_test.cpp
+++ b/tests/deadline_test.cpp
@@ -51,7 +51,7 @@
     start_patient({{"s-held", held.address()}});
     const auto sent = Steady::now();
     client().send(request("deposit", "id-1", 5000, "a body"));
-    until([&] { return sidecar->records() == 1; });
+    until([&] { return sidecar->request_count() == 1; });
     expect_late_and_within(held, 5000, sent);
 }
 
@@ -87,7 +87,7 @@
     start_patient({{"s-held", held.address()}});
     const auto sent = Steady::now();
     client().send(request("deposit", "id-1", 5000, std::string(net::BodyBuffer::kMost + 2000, 'x')));
-    until([&] { return sidecar->records() == 1; });
+    until([&] { return sidecar->request_count() == 1; });
     expect_late_and_within(held, 5000, sent);
 }
 
@@ -163,7 +163,7 @@
         sidecar.emplace(io, config::read_config(text));
     }
     void expect_nothing_left() {
-        until([&] { return sidecar->records() == 0 && sidecar->metrics().in_flight == 0; });
+        until([&] { return sidecar->request_count() == 0 && sidecar->metrics().in_flight == 0; });
         EXPECT_EQ(sidecar->gauges().requests, 0u);
     }
     // Until the sidecar has read all that has come by now.
@@ -195,7 +195,7 @@
         until([&] { return watched_from("41"); });
         TestClient& c = client();
         c.send(request("listen", "id-1") + way.early);
-        until([&] { return sidecar->records() == 1; });
+        until([&] { return sidecar->request_count() == 1; });
         pass();
         leave(c, way);
         tell(list_json(42, false, {{"s-b", b.address()}}));
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -129,7 +129,7 @@
         }
     }
     void expect_nothing_left() {
-        until([&] { return sidecar->records() == 0 && sidecar->metrics().in_flight == 0; });
+        until([&] { return sidecar->request_count() == 0 && sidecar->metrics().in_flight == 0; });
         EXPECT_EQ(sidecar->gauges().requests, 0u);
     }
 };
@@ -236,7 +236,7 @@
             request("deposit", "still-" + std::to_string(i), 5000, std::string(1 << 20, 'a'));
         asio::write(still.back(), asio::buffer(whole.substr(0, 8000)));
     }
-    until([&] { return sidecar->buffered() >= 256 * 1024; });
+    until([&] { return sidecar->buffered_bytes() >= 256 * 1024; });
     for (int i = 0; i < 8; ++i)
         send(request("annotate", "id-" + std::to_string(i), 1000, std::string(60000, 'b')), 1000);
     expect_each_in_time();
@@ -281,7 +281,7 @@
                       io_.run();
                   } catch (const std::exception&) {
                       ++thrown;
-                      sidecar_.note_failure();
+                      sidecar_.handle_failure();
                   }
           }) {}
     ~SidecarThread() {
@@ -350,7 +350,7 @@
                 send("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
                 send(request(kind, kind + std::to_string(nth), kShort));
                 failed = sidecar.ask([](Sidecar&) { return std::exchange(allocations_left, -1) < 0; });
-                const bool held = sidecar.ask([](Sidecar& s) { return s.records() > 0; });
+                const bool held = sidecar.ask([](Sidecar& s) { return s.request_count() > 0; });
                 send(request(kind, kind + std::to_string(nth) + "-next", kShort));
                 if (!over() && !passed_over() && (held || !only_events)) lost[kind].push_back(nth);
             }
--- a/tests/hot_restart_lock_test.cpp
+++ b/tests/hot_restart_lock_test.cpp
@@ -260,10 +260,10 @@
     });
     EXPECT_LE(ended(), 1);  // one slot is kept free
     std::optional<Sidecar> other(std::in_place, io, config);
-    EXPECT_TRUE(other->halved());
-    until([&] { return sidecar->halved() && ended() >= 4; });
+    EXPECT_TRUE(other->limits_halved());
+    until([&] { return sidecar->limits_halved() && ended() >= 4; });
     other.reset();
-    until([&] { return !sidecar->halved(); });
+    until([&] { return !sidecar->limits_halved(); });
 }
 
 }  // namespace
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -24,7 +24,7 @@
     EXPECT_EQ(seen["Idempotency-Key"], "key-id-1");
     EXPECT_GT(std::stoi(std::string(seen["Request-Timeout-Ms"])), 0);
     EXPECT_LE(std::stoi(std::string(seen["Request-Timeout-Ms"])), 5000);
-    EXPECT_EQ(sidecar->records(), 0u);
+    EXPECT_EQ(sidecar->request_count(), 0u);
     EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
 
@@ -112,7 +112,7 @@
     until([&] { return c.answers.size() == 2; });
     EXPECT_EQ(c.answers[1].result_int(), 200u);
     EXPECT_EQ(a.requests.size(), 2u);
-    EXPECT_EQ(sidecar->records(), 0u);
+    EXPECT_EQ(sidecar->request_count(), 0u);
 }
 
 TEST_F(Net, AClientThatLeavesIsForgottenWithItsAttempt) {
@@ -123,7 +123,7 @@
     until([&] { return a.requests.size() == 1; });
     c.close();
     until([&] { return a.ended() == 1; });
-    EXPECT_EQ(sidecar->records(), 0u);
+    EXPECT_EQ(sidecar->request_count(), 0u);
     EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
 
@@ -230,7 +230,7 @@
     start({{"s-b", b.address()}}, "256");
     until([&] { return watched_from("41"); });
     tell(list_json(42, true, many));
-    until([&] { return watched_from("42") && sidecar->metrics().known == 1024; });
+    until([&] { return watched_from("42") && sidecar->metrics().servers_listed == 1024; });
     for (int i = 0; i < 300; ++i) EXPECT_EQ(ask(request("listen", std::to_string(i))).result_int(), 200u);
     EXPECT_GT(a.requests.size(), 200u);
     // Every server has connections of its own, and each idle one makes room for another.
@@ -243,7 +243,7 @@
     for (int i = 0; i < 8; ++i)
         EXPECT_EQ(ask(request("listen", "b-" + std::to_string(i))).result_int(), 200u);
     EXPECT_EQ(a.requests.size(), before);
-    EXPECT_EQ(sidecar->metrics().excluded, 1023u);
+    EXPECT_EQ(sidecar->metrics().servers_unavailable, 1023u);
 }
 
 // SIGHUP: the watch goes on at the new address from the version that is held, and the old one is left.
@@ -337,7 +337,7 @@
         EXPECT_EQ(answer.body(), "no such sheet");
     }
     EXPECT_EQ(arrived(), 40u) << "none is tried twice";
-    EXPECT_EQ(sidecar->records(), 0u);
+    EXPECT_EQ(sidecar->request_count(), 0u);
     const std::size_t at_a = a.requests.size(), at_b = b.requests.size();
     for (int i = 0; i < 40; ++i)
         EXPECT_EQ(ask(request("listen", "id-" + std::to_string(i))).body(), "served");
@@ -463,7 +463,7 @@
     until([&] {
         return std::all_of(all.begin(), all.end(), [](TestClient* c) { return !c->answers.empty(); });
     });
-    until([&] { return sidecar->records() == 0; });
+    until([&] { return sidecar->request_count() == 0; });
     const auto after = ask(request("listen", "last"));
     EXPECT_NE(after.result_int(), 0u);
     for (TestClient* c : all) {
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -80,7 +80,7 @@
     int sum(const std::string& ending) const {
         std::uint64_t all = 0;
         for (const auto& c : sidecar->metrics().classes)
-            all += ending == "served" ? c.served : ending == "refused" ? c.refused : c.failed;
+            all += ending == "served" ? c.served : ending == "refused" ? c.rejected : c.failed;
         return static_cast<int>(all);
     }
 };
@@ -97,7 +97,7 @@
     EXPECT_TRUE(body_of(peers.front().in) == down) << peers.front().in.substr(0, 200);
     until([&] { return sidecar->metrics().in_flight == 0; });
     EXPECT_EQ(sum("served"), 1);
-    EXPECT_EQ(sidecar->records(), 0u);
+    EXPECT_EQ(sidecar->request_count(), 0u);
 }
 
 // The first bytes go out while the rest is yet to come, and a pause within it ends nothing.
@@ -135,7 +135,7 @@
     const auto silent_since = std::chrono::steady_clock::now();
     move_until(peers, [&] { return peers.front().ended; });
     EXPECT_LT(std::chrono::steady_clock::now() - silent_since, kGivenUpAfter + kSlackOfTheLoop);
-    until([&] { return sidecar->records() == 0 && sidecar->metrics().in_flight == 0; });
+    until([&] { return sidecar->request_count() == 0 && sidecar->metrics().in_flight == 0; });
     EXPECT_EQ(sum("served"), 0);
 }
 
@@ -188,13 +188,13 @@
         before = all;
         return same > 100;
     });
-    EXPECT_LE(sidecar->buffered(), (2u << 20) + count * net::BodyBuffer::kLeast);
+    EXPECT_LE(sidecar->buffered_bytes(), (2u << 20) + count * net::BodyBuffer::kLeast);
     EXPECT_LT(before, count * size / 2) << "the kernel's buffers are far smaller than that";
     // Others are served meanwhile.
     EXPECT_EQ(ask("GET /_health HTTP/1.1\r\n\r\n").result_int(), 200u);
     for (RawPeer& reader : readers) EXPECT_FALSE(reader.ended);
     readers.clear();
-    until([&] { return sidecar->records() == 0 && sidecar->buffered() == 0; });
+    until([&] { return sidecar->request_count() == 0 && sidecar->buffered_bytes() == 0; });
     EXPECT_EQ(sum("failed"), static_cast<int>(count));
 }
 
@@ -216,7 +216,7 @@
         servers.back().socket.close();
         move_until(peers, [&] { return peers.front().ended; });
         EXPECT_EQ(peers.front().in.find("\r\n0\r\n"), std::string::npos);
-        until([&] { return sidecar->records() == 0; });
+        until([&] { return sidecar->request_count() == 0; });
         EXPECT_EQ(sum("failed"), number);
     }
     EXPECT_EQ(servers.size(), 3u) << "no second try";
@@ -320,7 +320,7 @@
         EXPECT_EQ(c.answers[0].result_int(), 400u) << bad;
     }
     EXPECT_EQ(a.requests.size(), 0u);
-    EXPECT_EQ(sidecar->records(), 0u);
+    EXPECT_EQ(sidecar->request_count(), 0u);
 }
 
 // The same request in every form, cut anywhere.
@@ -453,7 +453,7 @@
     peers.clear();
     until([&] {
         servers.front().turn();
-        return servers.front().ended && sidecar->records() == 0;
+        return servers.front().ended && sidecar->request_count() == 0;
     });
     EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -125,7 +125,7 @@
         EXPECT_EQ(ask_on(c, request("deposit", "id-" + std::to_string(error))).result_int(), 200u)
             << std::strerror(error);
         EXPECT_EQ(faults.failed(SystemCall::connect), 1) << std::strerror(error);
-        EXPECT_EQ(sidecar->metrics().excluded, 0u) << std::strerror(error);
+        EXPECT_EQ(sidecar->metrics().servers_unavailable, 0u) << std::strerror(error);
         EXPECT_EQ(arrived(), before + 1);
         sidecar.reset();
     }
@@ -141,7 +141,7 @@
     EXPECT_EQ(ask_on(c, request("deposit", "id-1")).result_int(), 503u);
     EXPECT_LE(faults.failed(SystemCall::connect), 4) << "max-attempts";
     faults.fail(SystemCall::connect, 0, 0);
-    EXPECT_EQ(sidecar->metrics().excluded, 0u);
+    EXPECT_EQ(sidecar->metrics().servers_unavailable, 0u);
     EXPECT_EQ(ask_on(c, request("deposit", "id-2")).result_int(), 200u);
     EXPECT_EQ(arrived(), before + 1);
 }
@@ -222,7 +222,7 @@
                          "127.0.0.1-" + std::to_string(config.listen.port()));
     other.other_lives();
     sidecar.emplace(io, config);
-    ASSERT_TRUE(sidecar->halved());
+    ASSERT_TRUE(sidecar->limits_halved());
     until([&] { return watched_from("41"); });
     faults.fail(SystemCall::socket, ENFILE, 2);
     tell(list_json(42, false, {{"s-a", a.address()}}));
@@ -332,7 +332,7 @@
     }
     void server_takes_more() { faults.fail(SystemCall::send, EAGAIN, 0); }
     void expect_not_finished() {
-        until([&] { return sidecar->records() == 0 && a.ended() == 1; });
+        until([&] { return sidecar->request_count() == 0 && a.ended() == 1; });
         EXPECT_EQ(a.requests.size(), 0u);
     }
 };
@@ -340,7 +340,7 @@
 TEST_F(UploadToABusyServer, ClientLeaves_isNotFinished) {
     start_without_cancelling();
     upload("").close();
-    until([&] { return sidecar->records() == 0; });
+    until([&] { return sidecar->request_count() == 0; });
     server_takes_more();
     expect_not_finished();
 }
