--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -28,9 +28,9 @@
 UpstreamPool::Limits upstream_limits(const config::Config& config, std::size_t connections) {
     UpstreamPool::Limits limits;
     limits.connect_timeout = config.connect_timeout;
-    limits.idle = config.idle_close * (1 - kIdleMargin);
-    limits.connections = connections;
-    limits.gather = shortest_objective(config.site.settings) / kGatherDivisor;
+    limits.idle_timeout = config.idle_close * (1 - kIdleMargin);
+    limits.max_connections = connections;
+    limits.buffering_time = shortest_objective(config.site.settings) / kGatherDivisor;
     return limits;
 }
 
