--- /dev/null
+++ b/src/node/downstream_connection.cpp
@@ -0,0 +1,258 @@
+#include "node/downstream_connection.hpp"
+
+#include <poll.h>
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <utility>
+
+#include "net/clock.hpp"
+#include "net/socket_errors.hpp"
+
+namespace mothring::node::downstream {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+
+namespace {
+
+constexpr Millis kReaderTimeout = 10000;  // of a client that reads nothing of its response
+constexpr Millis kLinger = 300;           // for a client's end, after ours
+constexpr Millis kLongestLinger = 3000;   // where the client goes on sending
+constexpr Millis kLongIdle = 2000;
+
+Response plain_response(http::status status) {
+    Response response(status, kHttp11);
+    const auto reason = http::obsolete_reason(status);
+    response.body() = std::string(reason.data(), reason.size());
+    response.set(http::field::content_type, "text/plain");
+    return response;
+}
+
+}  // namespace
+
+Connection::Connection(Owner& owner, asio::io_context& io, net::Tcp::socket socket)
+    : owner_(&owner),
+      socket_(std::move(socket)),
+      timer_(io),
+      unread_ages_([this] { return count_unread(); }),
+      writer_(*this, socket_,
+              {[this] { close_at(SteadyClock::now() + net::span(kReaderTimeout)); },
+               [this] { lift_time_limit(); },
+               [this](bool complete, bool keep_alive) { end_response(complete, keep_alive); }}) {
+    error_code ignored;
+    socket_.set_option(net::Tcp::no_delay(true), ignored);
+    socket_.non_blocking(true, ignored);
+}
+
+ConnectionPtr Connection::self() { return std::static_pointer_cast<Connection>(shared_from_this()); }
+
+void Connection::start() {
+    active_at_ = SteadyClock::now();
+    close_at(timeouts_.connect(active_at_));
+    wait_readable();
+}
+
+// ---- What can be seen of it ----
+
+// What reading one byte would give; it stays where it is.
+error_code Connection::peek() {
+    char byte = 0;
+    return net::repeated_while_interrupted([&](error_code& error) {
+        socket_.receive(asio::buffer(&byte, 1), net::Tcp::socket::message_peek, error);
+    });
+}
+
+bool Connection::has_read_all() {
+    const error_code error = peek();
+    return error == asio::error::would_block || error == asio::error::eof;
+}
+
+bool Connection::has_client_left() {
+    constexpr short kEnded = POLLRDHUP | POLLHUP | POLLERR;
+    return (net::events_now(socket_.native_handle(), kEnded) & kEnded) != 0;
+}
+
+Millis Connection::unread_time() const { return unread_ages_.age(SteadyClock::now()); }
+
+EvictionRank Connection::eviction_rank() const {
+    if (state_ == State::reading_head) return EvictionRank::within_head;
+    if (state_ != State::idle) return EvictionRank::needed;
+    if (timeouts_.awaits_first_request()) return EvictionRank::awaits_first_request;
+    const bool for_long = SteadyClock::now() - active_at_ >= net::span(kLongIdle);
+    return for_long ? EvictionRank::idle_for_long : EvictionRank::idle;
+}
+
+// Whether a request is yet to come, or its rest.
+bool Connection::is_request_incomplete() const {
+    return state_ < State::waiting || (state_ == State::waiting && is_receiving_body());
+}
+
+// Whether it is kept after the response. A drain ends it with the response to the last request that was read.
+bool Connection::stays_open() {
+    return keep_alive_ && !is_receiving_body() && (!owner_->is_draining() || has_more_requests());
+}
+
+bool Connection::has_more_requests() {
+    return parser_.buffered() > 0 || (!has_ended_reading_ && !has_read_all());
+}
+
+// ---- Responses ----
+
+void Connection::respond(Response response) {
+    state_ = State::responding;
+    writer_.write(std::move(response), stays_open());
+}
+
+void Connection::stream_response(ResponseHead head, std::shared_ptr<net::BodyBuffer> body) {
+    state_ = State::responding;
+    const BodyFraming framing = framing_of(*body, http_version_);
+    keep_alive_ = keep_alive_ && framing != BodyFraming::until_close;
+    writer_.stream(std::move(head), std::move(body), framing, stays_open());
+}
+
+void Connection::respond_to_health_check() {
+    timeouts_.note_first_request();
+    lift_time_limit();
+    const bool is_get = parser_.is_get();
+    respond(plain_response(is_get ? http::status::ok : http::status::method_not_allowed));
+}
+
+void Connection::reject(http::status status) {
+    if (state_ == State::responding) return;  // the connection ends with that response
+    if (id_ != 0) {
+        owner_->remove_request(id_);
+        owner_->callbacks().on_client_disconnected(id_);
+        report_response_ended(*owner_, false);
+    }
+    keep_alive_ = false;
+    respond(plain_response(status));
+}
+
+void Connection::report_response_ended(Owner& owner, bool complete) {
+    if (id_ != 0) owner.callbacks().on_response_ended(std::exchange(id_, 0), complete);
+}
+
+void Connection::end_response(bool complete, bool keep_alive) {
+    const bool leaves_unread = is_receiving_body();
+    if (body_) body_->on_room = nullptr;
+    body_.reset();
+    head_.reset();
+    parser_.end_request();
+    writer_.stop_streaming();
+    report_response_ended(*owner_, complete);
+    lift_time_limit();
+    if (!complete) return close();
+    const bool was_last = has_ended_reading_ && parser_.buffered() == 0;
+    if (!keep_alive || leaves_unread || was_last) return shut_down(kLongestLinger);
+    state_ = State::idle;
+    active_at_ = SteadyClock::now();
+    note_next_request();
+    owner_->became_idle();
+    if (parser_.buffered() > 0) return read();
+    parser_.release_unused_memory();
+    wait_readable();
+}
+
+// ---- Its end ----
+
+void Connection::close() {
+    if (!owner_) return;
+    Owner* const owner = std::exchange(owner_, nullptr);
+    error_code ignored;
+    socket_.close(ignored);
+    timer_.cancel();
+    const bool has_no_response = id_ != 0 && (state_ != State::responding || writer_.is_streaming());
+    if (body_) body_->on_room = nullptr;
+    writer_.stop_streaming();
+    if (has_no_response) {
+        owner->remove_request(id_);
+        owner->callbacks().on_client_disconnected(id_);
+    }
+    report_response_ended(*owner, false);
+    owner->closed(self());
+}
+
+void Connection::shut_down(Millis longest) {
+    state_ = State::shutting_down;
+    error_code ignored;
+    socket_.shutdown(net::Tcp::socket::shutdown_send, ignored);
+    shutdown_time_limit_ = SteadyClock::now() + net::span(longest);
+    close_at(SteadyClock::now() + net::span(kLinger));
+    discard();
+}
+
+// What comes now is not forwarded any more.
+void Connection::discard() {
+    parser_.discard();
+    socket_.async_read_some(parser_.prepare(RequestParser::kHeadPiece),
+                            [connection = self()](error_code failed, std::size_t) {
+                                if (failed) return connection->close();
+                                if (!connection->owner_) return;
+                                const TimePoint next = SteadyClock::now() + net::span(kLinger);
+                                connection->close_at(std::min(connection->shutdown_time_limit_, next));
+                                connection->discard();
+                            });
+}
+
+void Connection::shut_down_if_idle() {
+    const bool is_idle = state_ == State::idle && parser_.buffered() == 0 && has_read_all();
+    if (is_idle) shut_down(kLongestLinger);
+}
+
+void Connection::evict() {
+    if (timeouts_.awaits_first_request() || state_ != State::idle)
+        close();
+    else
+        shut_down(kLinger);
+}
+
+void Connection::end_reading() {
+    if (has_ended_reading_) return;
+    if (is_reading_head() || is_receiving_body()) read();
+    if (!owner_ || state_ == State::shutting_down) return;
+    has_ended_reading_ = true;
+    if (state_ != State::responding) reject_incomplete();
+}
+
+void Connection::reject_incomplete() {
+    if (state_ == State::idle) return shut_down(kLinger);
+    if (id_ == 0 || is_receiving_body()) reject(http::status::service_unavailable);
+}
+
+// ---- Time limits ----
+
+void Connection::close_at(TimePoint time) {
+    time_limit_ = time;
+    timer_.expires_at(time);
+    timer_.async_wait([weak = weak_from_this(), this, time](error_code cancelled) {
+        const auto connection = weak.lock();
+        if (cancelled || !connection || time_limit_ != time) return;
+        connection->guarded([this] { on_time_limit(); });
+    });
+}
+
+void Connection::lift_time_limit() {
+    time_limit_ = {};
+    timer_.cancel();
+}
+
+void Connection::limit_body_time() { close_at(timeouts_.body_due(SteadyClock::now())); }
+
+// A client that has sent no complete request is shut down in order; one that does not read is not waited for.
+// What has come up to now is read first.
+void Connection::on_time_limit() {
+    if (is_request_incomplete()) {
+        read();
+        if (!owner_ || !is_request_incomplete()) return;
+        if (time_limit_ == TimePoint{} || time_limit_ > SteadyClock::now()) return;
+    }
+    const bool is_unreported = id_ == 0 && state_ < State::waiting;
+    if (is_unreported)
+        shut_down(kLinger);
+    else
+        close();
+}
+
+}  // namespace mothring::node::downstream
--- /dev/null
+++ b/src/node/downstream_connection_reading.cpp
@@ -0,0 +1,257 @@
+// How a connection reads its requests; see downstream_connection.cpp for the rest of its life.
+#include <boost/asio/post.hpp>
+#include <string_view>
+#include <utility>
+
+#include "net/socket_errors.hpp"
+#include "node/downstream_connection.hpp"
+
+namespace mothring::node::downstream {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+
+namespace {
+
+constexpr std::size_t kBodyPiece = 16 * 1024;  // bytes read at a time
+constexpr int kReadsInARow = 8;                // before other connections have their turn
+constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+
+}  // namespace
+
+// One wait at a time: for a request while idle, for the rest of it, for the client's end while it waits.
+void Connection::wait_readable() {
+    if (is_waiting_readable_) return;
+    is_waiting_readable_ = true;
+    socket_.async_wait(net::Tcp::socket::wait_read, [connection = self()](error_code failed) {
+        connection->is_waiting_readable_ = false;
+        if (!connection->owner_) return;
+        if (failed) return connection->close();
+        connection->guarded([&] { connection->on_readable(); });
+    });
+}
+
+void Connection::on_readable() {
+    if (state_ == State::shutting_down) return;  // discards by itself
+    if (is_reading_head() || is_receiving_body()) return read();
+    // The next request, early, stays where it is until this one has its response.
+    const error_code error = peek();
+    if (net::is_to_be_repeated(error))
+        wait_readable();
+    else if (!error)
+        note_unread();
+    else if (state_ != State::responding)
+        close();
+}
+
+// Reads and parses as long as there is something to read and room for it.
+void Connection::read() {
+    for (int turns = 0; is_reading(); ++turns) {
+        if (is_receiving_body() && body_->room() == 0) return wait_for_body_room();
+        if (parser_.buffered() > 0) {
+            if (!parse()) return;
+            continue;
+        }
+        if (turns >= kReadsInARow) return read_later();
+        if (!receive()) return;
+    }
+}
+
+void Connection::read_later() {
+    asio::post(socket_.get_executor(),
+               [connection = self()] { connection->guarded([&] { connection->read(); }); });
+}
+
+// Whether anything was read.
+bool Connection::receive() {
+    if (has_ended_reading_) {
+        reject_incomplete();
+        return false;
+    }
+    const auto space = parser_.prepare(is_receiving_body() ? kBodyPiece : RequestParser::kHeadPiece);
+    std::size_t count = 0;
+    const error_code error = net::repeated_while_interrupted(
+        [&](error_code& failed) { count = socket_.read_some(space, failed); });
+    if (net::is_to_be_repeated(error)) {
+        if (state_ == State::idle) parser_.release_unused_memory();
+        const bool may_be_more = net::is_interrupted(error);
+        if (!may_be_more) unread_ages_.note_all_read();
+        wait_readable();
+        return false;
+    }
+    if (error) {
+        close();
+        return false;
+    }
+    note_received(count);
+    return true;
+}
+
+void Connection::note_received(std::size_t bytes) {
+    parser_.commit(bytes);
+    timeouts_.note_received(bytes);
+    if (is_receiving_body())
+        limit_body_time();
+    else if (state_ == State::reading_head)
+        active_at_ = SteadyClock::now();
+}
+
+// Parses what has come. Whether reading goes on; else more has to come, or the request has.
+bool Connection::parse() {
+    if (state_ == State::idle) {
+        if (!parser_.skip_line_ends()) return true;
+        start_request();
+    }
+    net::BodyBuffer* const body = is_receiving_body() ? body_.get() : nullptr;
+    const RequestParser::Step step = parser_.parse(body);
+    unread_ages_.note_read(step.bytes, SteadyClock::now());
+    // The last byte of a request that servers have in part lets it begin there: not for a client that has
+    // left.
+    const bool ends_forwarded_body = body != nullptr && state_ == State::waiting && parser_.is_complete();
+    if (ends_forwarded_body && has_client_left()) {
+        close();
+        return false;
+    }
+    if (step.body_bytes > 0) body->added(step.body_bytes);
+    return take_step(step);
+}
+
+bool Connection::take_step(const RequestParser::Step& step) {
+    using Result = RequestParser::Result;
+    if (step.result == Result::needs_more && !parser_.is_buffer_full()) return receive();
+    if (step.result != Result::progressed) {
+        const bool is_too_large = step.result == Result::body_too_large;
+        reject(is_too_large ? http::status::payload_too_large : http::status::bad_request);
+        return false;
+    }
+    if (step.completes_head) return take_head();
+    if (!is_receiving_body()) return true;
+    if (parser_.is_complete()) {
+        complete_body();
+        return false;
+    }
+    if (state_ == State::reading_body && body_->full()) deliver();
+    return true;
+}
+
+void Connection::start_request() {
+    state_ = State::reading_head;
+    active_at_ = SteadyClock::now();
+    parser_.start_request();
+    close_at(timeouts_.start_head(SteadyClock::now()));
+}
+
+bool Connection::take_head() {
+    keep_alive_ = parser_.keep_alive();
+    http_version_ = parser_.http_version();
+    if (const auto error = parser_.head_error()) {
+        reject(*error);
+        return false;
+    }
+    head_ = parser_.copy_head();
+    if (parser_.is_complete() && head_->target() == "/_health") {
+        respond_to_health_check();
+        return false;
+    }
+    if (!read_incoming_request(*head_)) {
+        reject(http::status::bad_request);
+        return false;
+    }
+    if (parser_.is_complete()) {
+        deliver();
+        return false;
+    }
+    return start_body();
+}
+
+// Whether reading goes on at once.
+bool Connection::start_body() {
+    state_ = State::reading_body;
+    body_ = std::make_shared<net::BodyBuffer>(owner_->body_budget(), parser_.content_length());
+    body_->on_room = [weak = weak_from_this(), this] {
+        if (const auto connection = weak.lock()) on_body_room();
+    };
+    timeouts_.start_body(parser_.buffered());
+    limit_body_time();
+    if (parser_.buffered() > 0 || !expects_continue()) return true;
+    writer_.write_out(net::write_step(asio::const_buffer(kContinue.data(), kContinue.size())),
+                      [this](bool complete) {
+                          if (complete)
+                              read();
+                          else
+                              close();
+                      });
+    return false;
+}
+
+bool Connection::expects_continue() const {
+    return http_version_ == kHttp11 && boost::beast::iequals((*head_)[http::field::expect], "100-continue");
+}
+
+void Connection::on_body_room() {
+    if (!is_receiving_body()) return;
+    timeouts_.resume_body(SteadyClock::now());
+    limit_body_time();
+    asio::post(socket_.get_executor(), if_open([this] { read(); }));
+}
+
+// No room for the rest of a body: our delay, and on_room goes on. While its last byte is yet to come, its
+// time counts from now at the earliest.
+void Connection::wait_for_body_room() {
+    const std::uint64_t here = body_->total() + count_unread();
+    if (!body_->length || here < *body_->length) unread_ages_.note_all_read();
+    note_unread();
+    lift_time_limit();
+}
+
+void Connection::complete_body() {
+    lift_time_limit();
+    body_->finish();
+    if (!owner_) return;
+    if (state_ == State::reading_body) return deliver();
+    if (state_ != State::waiting) return;
+    owner_->callbacks().on_body_complete(id_);
+    if (!owner_ || state_ != State::waiting) return;
+    note_next_request();
+    if (parser_.buffered() == 0) wait_readable();
+}
+
+// Reports the request: with its body complete, or as much of it as there is room for.
+void Connection::deliver() {
+    auto request = read_incoming_request(*head_);
+    timeouts_.note_first_request();
+    if (!is_receiving_body()) {
+        lift_time_limit();
+        request->time_left = std::max(0.0, request->time_left - unread_time());
+        note_next_request();
+    }
+    id_ = owner_->next_request_id();
+    request->id = id_;
+    request->message = head_;
+    const bool is_empty = body_ && body_->whole() && body_->total() == 0;
+    request->body = is_empty ? nullptr : body_;
+    state_ = State::waiting;
+    owner_->add_request(id_, self());
+    if (!is_receiving_body() && parser_.buffered() == 0) wait_readable();
+    owner_->callbacks().on_request(std::move(*request));
+}
+
+// ---- Unread bytes ----
+
+void Connection::note_unread() { unread_ages_.note_unread(SteadyClock::now()); }
+
+// One request is complete: whatever else is here is of the next one.
+void Connection::note_next_request() {
+    if (parser_.buffered() > 0)
+        note_unread();
+    else if (unread_ages_.has_unread() && has_read_all())
+        unread_ages_.note_all_read();
+}
+
+std::size_t Connection::count_unread() {
+    error_code ignored;
+    return parser_.buffered() + socket_.available(ignored);
+}
+
+}  // namespace mothring::node::downstream
--- /dev/null
+++ b/src/node/request_parser.cpp
@@ -0,0 +1,98 @@
+#include "node/request_parser.hpp"
+
+#include <algorithm>
+
+namespace mothring::node::downstream {
+
+namespace http = boost::beast::http;
+using boost::system::error_code;
+
+namespace {
+
+constexpr boost::beast::string_view kScheme = "http://";
+
+bool begins_with_line_end(const boost::beast::flat_buffer& buffer) {
+    const char first = *static_cast<const char*>(buffer.data().data());
+    return first == '\r' || first == '\n';
+}
+
+RequestParser::Result result_of(error_code error) {
+    if (!error || error == http::error::need_buffer) return RequestParser::Result::progressed;
+    if (error == http::error::need_more) return RequestParser::Result::needs_more;
+    if (error == http::error::body_limit) return RequestParser::Result::body_too_large;
+    return RequestParser::Result::malformed;
+}
+
+}  // namespace
+
+boost::asio::mutable_buffer RequestParser::prepare(std::size_t most) {
+    const std::size_t space = buffer_.max_size() - buffer_.size();
+    return buffer_.prepare(std::min(space, most));
+}
+
+bool RequestParser::skip_line_ends() {
+    while (buffer_.size() > 0 && begins_with_line_end(buffer_)) buffer_.consume(1);
+    return buffer_.size() > 0;
+}
+
+void RequestParser::start_request() {
+    parser_.emplace();
+    parser_->header_limit(net::kHeaderLimit);
+    parser_->body_limit(net::kLargestBody);
+}
+
+RequestParser::Step RequestParser::parse(net::BodyBuffer* body) {
+    auto& part = parser_->get().body();
+    std::size_t room = 0;
+    if (body != nullptr) {
+        room = body->room();
+        part.size = room;
+        part.data = body->space();
+        part.more = true;
+    }
+    const bool was_in_head = !parser_->is_header_done();
+    parser_->eager(!was_in_head);
+    Step step;
+    error_code error;
+    step.bytes = parser_->put(buffer_.data(), error);
+    buffer_.consume(step.bytes);
+    step.result = result_of(error);
+    step.body_bytes = body != nullptr ? room - part.size : 0;
+    step.completes_head = was_in_head && parser_->is_header_done();
+    return step;
+}
+
+std::optional<std::uint64_t> RequestParser::content_length() const {
+    const auto length = parser_->content_length();
+    return length ? std::optional<std::uint64_t>(*length) : std::nullopt;
+}
+
+std::optional<http::status> RequestParser::head_error() const {
+    if (!is_framed() || http_version() > kHttp11) return http::status::bad_request;
+    const auto length = content_length();
+    if (length && *length > net::kLargestBody) return http::status::payload_too_large;
+    return std::nullopt;
+}
+
+// Beast rejects two lengths, and a length beside chunks; a coding that it does not know hides the end.
+bool RequestParser::is_framed() const {
+    const auto& head = parser_->get();
+    const std::size_t codings = head.count(http::field::transfer_encoding);
+    if (codings == 0) return true;
+    return codings == 1 && head.count(http::field::content_length) == 0 && head.version() == kHttp11 &&
+           boost::beast::iequals(head[http::field::transfer_encoding], "chunked");
+}
+
+std::shared_ptr<const RequestHead> RequestParser::copy_head() const {
+    const auto& parsed = parser_->get();
+    auto head = std::make_shared<RequestHead>();
+    static_cast<RequestHead::header_type&>(*head) = parsed.base();
+    const auto target = parsed.target();
+    if (target.starts_with(kScheme)) {
+        const auto path_at = target.find('/', kScheme.size());
+        head->target(path_at == boost::beast::string_view::npos ? "/" : target.substr(path_at));
+    }
+    return head;
+}
+
+}  // namespace mothring::node::downstream
