--- a/tests/front_failure_test.cpp
+++ b/tests/downstream_listener_failure_test.cpp
@@ -1,5 +1,5 @@
-// What fails within the front, for want of memory, costs one connection at most: its client sees the end of
-// it, and never waits in vain. A call that a signal interrupts costs nothing.
+// What fails within the downstream side, for want of memory, costs one connection at most: its client sees
+// the end of it, and never waits in vain. A call that a signal interrupts costs nothing.
 #include <cerrno>
 #include <chrono>
 #include <new>
@@ -18,11 +18,11 @@
 using mothring::test::SystemCallFaults;
 using SteadyClock = std::chrono::steady_clock;
 
-/// From connecting on, within which the front wants a client's first request.
+/// From connecting on, within which the listener wants a client's first request.
 constexpr Millis kFirstRequest = 2400;
 
-/// A front by itself. Who takes the requests has no memory for them once `no_memory` is set.
-struct FrontFailure : testing::Test {
+/// A listener by itself. Who takes the requests has no memory for them once `no_memory` is set.
+struct DownstreamListenerFailure : testing::Test {
     asio::io_context io;
     SystemCallFaults faults;
     std::shared_ptr<net::BufferBudget> budget =
@@ -31,7 +31,7 @@
     std::size_t gone = 0;
     bool no_memory = false;
     int thrown = 0;  // exceptions that reached the loop
-    DownstreamListener front{io, any_port, 16, false, budget, callbacks()};
+    DownstreamListener listener{io, any_port, 16, false, budget, callbacks()};
 
     DownstreamListener::Callbacks callbacks() {
         DownstreamListener::Callbacks made;
@@ -58,8 +58,8 @@
         EXPECT_GE(pipe->room(), body.size());
         body.copy(pipe->space(), body.size());
         pipe->added(body.size());
-        front.stream_response(arrivals.at(0).id, DownstreamListener::ResponseHead(http::status::ok, 11),
-                              pipe);
+        listener.stream_response(arrivals.at(0).id, DownstreamListener::ResponseHead(http::status::ok, 11),
+                                 pipe);
         return pipe;
     }
     void expect_ended(const TestClient& client) {
@@ -67,16 +67,16 @@
         EXPECT_TRUE(client.ended);
         EXPECT_EQ(thrown, 1);
         EXPECT_EQ(gone, 1u);
-        EXPECT_EQ(front.connection_count(), 0u);
+        EXPECT_EQ(listener.connection_count(), 0u);
     }
 };
 
 // The loop is held up, and the rest of a request comes right before the timer's handler, which reads it.
-TEST_F(FrontFailure, NoMemoryAsTheTimeOfARequestRunsOut_endsItsConnection) {
+TEST_F(DownstreamListenerFailure, NoMemoryAsTheTimeOfARequestRunsOut_endsItsConnection) {
     const std::string whole = request("listen", "id-1");
     asio::steady_timer before_it(io, SteadyClock::now() + net::span(kFirstRequest));
-    TestClient client(io, front.address());
-    until([&] { return front.connection_count() == 1; });
+    TestClient client(io, listener.address());
+    until([&] { return listener.connection_count() == 1; });
     const auto limit = SteadyClock::now() + net::span(kFirstRequest);
     client.send(whole.substr(0, 40));
     before_it.async_wait([&](error_code) { client.send(whole.substr(40)); });
@@ -87,8 +87,8 @@
 }
 
 // The next request is here already, and is taken as the last byte of an answer has been written.
-TEST_F(FrontFailure, NoMemoryAfterAnAnswerIsWritten_endsItsConnection) {
-    TestClient client(io, front.address());
+TEST_F(DownstreamListenerFailure, NoMemoryAfterAnAnswerIsWritten_endsItsConnection) {
+    TestClient client(io, listener.address());
     client.send(request("listen", "id-1") + request("listen", "id-2"));
     until([&] { return arrivals.size() == 1; });
     no_memory = true;
@@ -98,8 +98,8 @@
 }
 
 // The same, as the answer's end is told after its last byte has been written.
-TEST_F(FrontFailure, NoMemoryAtTheEndOfAnAnswer_endsItsConnection) {
-    TestClient client(io, front.address());
+TEST_F(DownstreamListenerFailure, NoMemoryAtTheEndOfAnAnswer_endsItsConnection) {
+    TestClient client(io, listener.address());
     client.send(request("listen", "id-1") + request("listen", "id-2"));
     until([&] { return arrivals.size() == 1; });
     const auto pipe = stream_to_first("served");
@@ -113,22 +113,22 @@
 
 // A request that came early has stood unread while the one before it waited: that counts, whether a signal
 // interrupts the reads of it a few times or more often than they are repeated at once.
-TEST_F(FrontFailure, InterruptedReadOfARequestThatStoodUnread_itsTimeStillCounts) {
+TEST_F(DownstreamListenerFailure, InterruptedReadOfARequestThatStoodUnread_itsTimeStillCounts) {
     constexpr Millis kStood = 100;
     constexpr int kTimeout = 5000;
-    const Ports at_front{front.address().port(), 0};
+    const Ports at_listener{listener.address().port(), 0};
     for (const int times : {1, 2, 3, 100}) {
         arrivals.clear();
-        TestClient client(io, front.address());
+        TestClient client(io, listener.address());
         client.send(request("listen", "id-1", kTimeout));
         until([&] { return arrivals.size() == 1; });
-        faults.fail(SystemCall::receive, 0, 0, at_front);
+        faults.fail(SystemCall::receive, 0, 0, at_listener);
         client.send(request("listen", "id-2", kTimeout));
-        until([&] { return faults.made(SystemCall::receive) > 0; });  // the front's look at it
+        until([&] { return faults.made(SystemCall::receive) > 0; });  // the listener's look at it
         const auto stood = SteadyClock::now() + net::span(kStood);
         until([&] { return SteadyClock::now() > stood; });
-        faults.fail(SystemCall::receive, EINTR, times, at_front);
-        front.respond(arrivals[0].id, DownstreamListener::Response(http::status::ok, 11));
+        faults.fail(SystemCall::receive, EINTR, times, at_listener);
+        listener.respond(arrivals[0].id, DownstreamListener::Response(http::status::ok, 11));
         until([&] { return arrivals.size() == 2; });
         EXPECT_EQ(faults.failed(SystemCall::receive), times);
         EXPECT_LE(arrivals.back().time_left, kTimeout - kStood) << times;
