--- a/tests/policy/discovery_load_test.cpp
+++ b/tests/policy/discovery_load_test.cpp
@@ -117,12 +117,12 @@
     /// When the last of all sidecars was answered; kNever where one was not.
     Millis all_answered_at() const {
         Millis last = 0;
-        for (const Sidecar& s : sidecars_) last = std::max(last, s.answered_at.value_or(kNever));
+        for (const Sidecar& sidecar : sidecars_) last = std::max(last, sidecar.answered_at.value_or(kNever));
         return last;
     }
     std::size_t unanswered() const {
         return static_cast<std::size_t>(
-            std::ranges::count_if(sidecars_, [](const Sidecar& s) { return !s.answered_at; }));
+            std::ranges::count_if(sidecars_, [](const Sidecar& sidecar) { return !sidecar.answered_at; }));
     }
 
     /// The most calls that were offered in any span of this length (wherever it begins), of those made
--- a/tests/policy/stale_list_test.cpp
+++ b/tests/policy/stale_list_test.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kNotificationDelay = 6000;
 constexpr Millis kResubscribeWithin = 10000;
 constexpr Millis kLatency = 20;
-constexpr Millis kRequestInterval = 50;
+constexpr Millis kBetweenRequests = 50;
 /// Requests after which every server has had one.
 constexpr int kMostRequests = 1000;
 /// The server that fails.
@@ -44,7 +44,7 @@
             EXPECT_TRUE(harness.is_in_flight(id)) << "not sent";
             to_suspect += harness.server_of(id) == kSuspect;
             harness.end_attempt(id, Outcome::completed, kLatency);
-            harness.now += kRequestInterval;
+            harness.now += kBetweenRequests;
         }
         return to_suspect;
     }
@@ -135,7 +135,7 @@
         const RequestId next = harness.start_request();
         EXPECT_EQ(harness.server_of(next), met) << "the only one known to take new work";
         harness.end_attempt(next, Outcome::completed, kLatency);
-        harness.now += kRequestInterval;
+        harness.now += kBetweenRequests;
     }
 }
 
--- a/tests/support/policy_harness.cpp
+++ b/tests/support/policy_harness.cpp
@@ -236,25 +236,32 @@
 }
 
 void PolicyHarness::check_repeat(const TrackedRequest& request, const EndpointInfo& server) const {
-    const RequestClass& request_class = request.request_class;
-    for (const TrackedAttempt& attempt : request.attempts) {
-        if (attempt.in_flight) {
-            EXPECT_TRUE(settings.may_hedge) << "two attempts in flight";
-        }
-        if (!attempt.may_have_run) continue;
-        EXPECT_NE(request_class.idempotency, Idempotency::never) << "rule 2: sent again after a possible run";
-        if (request_class.idempotency != Idempotency::with_key) continue;
-        const EndpointInfo& before = servers.at(attempt.server);
-        if (request_class.dedup_scope == DedupScope::zone) {
-            EXPECT_EQ(server.zone, before.zone) << "rule 2: zone";
-        }
-        if (request_class.dedup_scope == DedupScope::cell) {
-            EXPECT_EQ(server.cell, before.cell) << "rule 2: cell";
-        }
-    }
+    for (const TrackedAttempt& attempt : request.attempts)
+        check_repeat_of(attempt, request.request_class, server);
     const TrackedAttempt* const first = first_possible_run(request);
-    if (first && request_class.idempotency == Idempotency::with_key) {
-        EXPECT_LT(now, first->sent_at + request_class.dedup_window) << "rule 2: after the window";
+    if (first && request.request_class.idempotency == Idempotency::with_key) {
+        EXPECT_LT(now, first->sent_at + request.request_class.dedup_window) << "rule 2: after the window";
+    }
+}
+
+void PolicyHarness::check_repeat_of(const TrackedAttempt& attempt, const RequestClass& request_class,
+                                    const EndpointInfo& server) const {
+    if (attempt.in_flight) {
+        EXPECT_TRUE(settings.may_hedge) << "two attempts in flight";
+    }
+    if (!attempt.may_have_run) return;
+    EXPECT_NE(request_class.idempotency, Idempotency::never) << "rule 2: sent again after a possible run";
+    if (request_class.idempotency != Idempotency::with_key) return;
+    check_dedup_scope(request_class.dedup_scope, servers.at(attempt.server), server);
+}
+
+void PolicyHarness::check_dedup_scope(DedupScope scope, const EndpointInfo& before,
+                                      const EndpointInfo& server) {
+    if (scope == DedupScope::zone) {
+        EXPECT_EQ(server.zone, before.zone) << "rule 2: zone";
+    }
+    if (scope == DedupScope::cell) {
+        EXPECT_EQ(server.cell, before.cell) << "rule 2: cell";
     }
 }
 
--- a/tests/support/policy_harness.hpp
+++ b/tests/support/policy_harness.hpp
@@ -18,9 +18,17 @@
 
 /// A tenant that no settings name.
 constexpr std::uint32_t kNoTenant = ~0U;
+/// The harness's time at first.
+constexpr Millis kHarnessStart = 100000;
+constexpr Millis kDefaultDedupWindow = 3000;
+/// Until a request's deadline.
+constexpr Millis kDefaultTimeLeft = 1000;
+/// From one step of a test to the end of an attempt.
+constexpr Millis kDefaultDelay = 50;
 
 /// A class of requests with a latency objective of 400 ms.
-RequestClass make_class(Idempotency idempotency, DedupScope scope = DedupScope::all, Millis window = 3000);
+RequestClass make_class(Idempotency idempotency, DedupScope scope = DedupScope::all,
+                        Millis window = kDefaultDedupWindow);
 
 /// Settings of four attempts a request and a slow start of 20 s, from a fifth of the capacity on.
 Settings make_settings(std::vector<RequestClass> classes = {make_class(Idempotency::always)});
@@ -59,7 +67,7 @@
 
     Settings settings;
     Balancer balancer;
-    Millis now = 100000;
+    Millis now = kHarnessStart;
     /// The end of the last stall(): answers that were due during it may come this late.
     Millis stalled_until = 0;
     std::map<RequestId, TrackedRequest> requests;
@@ -81,22 +89,25 @@
     void deliver_list(ListKind kind, const std::vector<EndpointInfo>& infos);
 
     /// A request arrives.
-    RequestId start_request(std::uint32_t class_index = 0, Millis time_left = 1000, bool is_retry = false,
-                            std::uint32_t tenant = kNoTenant);
+    RequestId start_request(std::uint32_t class_index = 0, Millis time_left = kDefaultTimeLeft,
+                            bool is_retry = false, std::uint32_t tenant = kNoTenant);
     /// So many requests of class 0 arrive at once.
-    std::vector<RequestId> start_requests(int count, Millis time_left = 1000, bool are_retries = false);
+    std::vector<RequestId> start_requests(int count, Millis time_left = kDefaultTimeLeft,
+                                          bool are_retries = false);
 
     /// The client of a request goes away.
     void disconnect_client(RequestId id);
 
     /// Ends the first attempt in flight of a request, `after` from now. Fails the test where there is none.
-    void end_attempt(RequestId id, Outcome outcome, Millis after = 50);
+    void end_attempt(RequestId id, Outcome outcome, Millis after = kDefaultDelay);
     /// Ends an attempt of a request now.
     void end_numbered_attempt(RequestId id, std::uint32_t number, Outcome outcome);
     /// Completes those of the requests that are in flight, all at once, `after` from now.
     void complete_in_flight(const std::vector<RequestId>& ids, Millis after);
     /// Makes a request's first attempt as old as if it had been sent that much earlier.
-    void backdate_attempt(RequestId id, Millis by) { requests.at(id).attempts.front().sent_at -= by; }
+    void backdate_attempt(RequestId id, Millis earlier) {
+        requests.at(id).attempts.front().sent_at -= earlier;
+    }
 
     /// Lets time pass: timers fire, attempts time out.
     void advance(Millis span);
@@ -137,6 +148,9 @@
     void check_send(const SendAttempt& send);
     void check_placement(const TrackedRequest& request, const EndpointInfo& server) const;
     void check_repeat(const TrackedRequest& request, const EndpointInfo& server) const;
+    void check_repeat_of(const TrackedAttempt& attempt, const RequestClass& request_class,
+                         const EndpointInfo& server) const;
+    static void check_dedup_scope(DedupScope scope, const EndpointInfo& before, const EndpointInfo& server);
     void check_rejection(const RejectRequest& rejection);
     void record_answer(TrackedRequest& request);
 };
--- a/tests/support/simulated_fleet.hpp
+++ b/tests/support/simulated_fleet.hpp
@@ -16,15 +16,22 @@
 
 namespace mothring::test {
 
+constexpr std::size_t kDefaultBalancers = 20;
+constexpr std::size_t kDefaultServers = 24;
+constexpr double kDefaultLoad = 0.55;
+constexpr double kDefaultSlowPace = 0.45;
+constexpr Millis kDefaultRestart = 20000;
+constexpr Millis kDefaultLength = 50000;
+
 /// What happens in a simulated fleet.
 struct FleetScenario {
-    std::size_t balancers = 20;
-    std::size_t servers = 24;
+    std::size_t balancers = kDefaultBalancers;
+    std::size_t servers = kDefaultServers;
     /// The traffic, as a share of what all servers can do when warm.
-    double load = 0.55;
+    double load = kDefaultLoad;
     /// The share of the servers that are of the slow kind, and their pace as a share of a fast one's.
     double slow_share = 0;
-    double slow_pace = 0.45;
+    double slow_pace = kDefaultSlowPace;
     /// The spread of the balancers' shares of the traffic; 0: all alike.
     double skew = 1;
     /// The first balancer's share of all traffic; 0: as drawn.
@@ -37,8 +44,8 @@
     std::function<double(Millis now)> demand = [](Millis) { return 1.0; };
     /// Which servers restart at `restarts_at`.
     std::function<bool(std::size_t server)> restarts = [](std::size_t server) { return server == 0; };
-    Millis restarts_at = 20000;
-    Millis length = 50000;
+    Millis restarts_at = kDefaultRestart;
+    Millis length = kDefaultLength;
     /// When all balancers restart; 0: never.
     Millis balancers_restart_at = 0;
     /// How often they do, one Settings::overload_window apart.
