--- a/src/net/body_buffer.hpp
+++ b/src/net/body_buffer.hpp
@@ -1,98 +1,126 @@
-// Bytes of a body on their way from one connection to another, in a bounded buffer: the writer stops while
-// there is no room, the reader while there is nothing to read, and each tells the other to go on.
+/// @file
+/// A bounded buffer for the bytes of a body on their way from one connection to another.
 #pragma once
 
 #include <algorithm>
+#include <cstddef>
+#include <cstdint>
 #include <cstring>
 #include <functional>
 #include <memory>
 #include <optional>
-#include <string>
 #include <string_view>
+#include <utility>
 
 namespace mothring::net {
 
-// What all buffers of a sidecar may hold together. Beyond it each still gets kLeast, so that all go on.
+/// The memory that all buffers of a sidecar may hold together, in bytes. Beyond the limit each still gets
+/// BodyBuffer::kLeast, so that all requests make progress.
 struct BufferBudget {
-    std::size_t limit = 0, used = 0;
+    std::size_t limit = 0;
+    std::size_t used = 0;
 };
 
+/// Connects one writer with one reader. The writer pauses while there is no room, the reader while there is
+/// nothing to read; each resumes the other by a callback. What has been read stays for a retry as long as the
+/// buffer has room for the rest beside it.
 class BodyBuffer {
 public:
-    static constexpr std::size_t kMost = 64 * 1024;  // also what is kept whole for another try
+    /// The largest capacity, and so the longest body that is kept for a retry.
+    static constexpr std::size_t kMost = 64 * 1024;
+    /// The capacity where the budget is used up.
     static constexpr std::size_t kLeast = 4 * 1024;
 
-    // `length`: of the whole body, where that is known.
+    /// @param length  of the complete body; absent: not known.
     BodyBuffer(std::shared_ptr<BufferBudget> budget, std::optional<std::uint64_t> length)
         : length(length), budget_(std::move(budget)) {}
     ~BodyBuffer() { resize(0); }
     BodyBuffer(const BodyBuffer&) = delete;
     BodyBuffer& operator=(const BodyBuffer&) = delete;
 
+    /// Of the complete body; absent: not known.
     const std::optional<std::uint64_t> length;
 
     // ---- The writer's side ----
+
+    /// Called when there is room again.
     std::function<void()> on_room;
+    /// How many bytes can be written now; allocates the memory of an empty buffer.
     std::size_t room() {
         if (size_ == 0) grow();
         return capacity_ - size_;
     }
-    char* space() { return bytes_.get() + size_; }  // of room()
+    bool full() { return room() == 0; }
+    /// Where to write; room() bytes.
+    char* space() { return bytes_.get() + size_; }
+    /// So many bytes have been written to space().
     void added(std::size_t count) {
         size_ += count;
         total_ += count;
         if (on_more) on_more();
     }
+    /// The body is complete.
     void finish() {
-        whole_ = true;
+        state_ = State::complete;
         if (on_more) on_more();
     }
+    /// The rest of the body won't come.
     void fail() {
-        broken_ = true;
+        state_ = State::broken;
         if (on_more) on_more();
     }
 
     // ---- The reader's side ----
-    std::function<void()> on_more;  // bytes, the end, or no more to come
-    // Stays where it is until take().
+
+    /// Called when there are bytes, the body is complete, or its rest won't come.
+    std::function<void()> on_more;
+    /// What has not been taken yet; valid until take().
     std::string_view unread() const { return {bytes_.get() + read_, size_ - read_}; }
+    /// So many bytes of unread() have been read.
     void take(std::size_t count) {
         read_ += count;
-        // What was taken stays for another try as long as what is yet to come finds room beside it.
-        if (kept_ && (whole_ || size_ < capacity_)) return;
+        if (kept_ && (state_ == State::complete || size_ < capacity_)) return;
         if (read_ > 0) kept_ = false;
         std::memmove(bytes_.get(), bytes_.get() + read_, size_ - read_);
         size_ -= std::exchange(read_, 0);
-        if (!whole_ && !broken_ && on_room) on_room();
+        if (state_ == State::incomplete && on_room) on_room();
     }
-    bool whole() const { return whole_; }
-    bool broken() const { return broken_; }
+    /// Whether all of the body has been written to the buffer.
+    bool whole() const { return state_ == State::complete; }
+    /// Whether the rest of the body won't come.
+    bool broken() const { return state_ == State::broken; }
+    /// How many bytes have been written so far.
     std::uint64_t total() const { return total_; }
 
-    // Whether all that has come so far is still here; it can then be read from the start again.
+    /// Whether all that has been written is still here, so that it can be read from the start again.
     bool kept() const { return kept_; }
+    /// Starts reading again from the start.
     void rewind() { read_ = 0; }
-    bool full() { return room() == 0; }
 
 private:
+    enum class State { incomplete, complete, broken };
+
     void grow() {
-        const std::size_t most =
-            static_cast<std::size_t>(std::min<std::uint64_t>(length.value_or(kMost), kMost));
-        const std::size_t wanted =
-            budget_->used + most <= budget_->limit + capacity_ ? most : std::min(most, kLeast);
+        const auto most = static_cast<std::size_t>(std::min<std::uint64_t>(length.value_or(kMost), kMost));
+        const bool is_within_budget = budget_->used + most <= budget_->limit + capacity_;
+        const std::size_t wanted = is_within_budget ? most : std::min(most, kLeast);
         if (wanted > capacity_) resize(wanted);
     }
     void resize(std::size_t capacity) {
         budget_->used -= capacity_;
         bytes_.reset(capacity > 0 ? new char[capacity] : nullptr);
-        budget_->used += capacity_ = capacity;
+        capacity_ = capacity;
+        budget_->used += capacity_;
     }
 
     std::shared_ptr<BufferBudget> budget_;
     std::unique_ptr<char[]> bytes_;
-    std::size_t capacity_ = 0, size_ = 0, read_ = 0;
+    std::size_t capacity_ = 0;
+    std::size_t size_ = 0;
+    std::size_t read_ = 0;
     std::uint64_t total_ = 0;
-    bool kept_ = true, whole_ = false, broken_ = false;
+    State state_ = State::incomplete;
+    bool kept_ = true;
 };
 
 }  // namespace mothring::net
--- a/src/net/http_message.hpp
+++ b/src/net/http_message.hpp
@@ -1,8 +1,10 @@
-// What both sides of the sidecar hold HTTP messages to.
+/// @file
+/// The limits of HTTP messages, the same for clients and servers, and how messages are read and copied.
 #pragma once
 
 #include <boost/beast/http.hpp>
 #include <cstddef>
+#include <cstdint>
 #include <utility>
 
 namespace mothring::net {
@@ -10,19 +12,23 @@
 /// HTTP/1.1, as Beast numbers versions.
 constexpr unsigned kHttpVersion = 11;
 
-constexpr std::size_t kBodyLimit = 64 * 1024;             // of what is kept whole
-constexpr std::uint64_t kLargestBody = 32 * 1024 * 1024;  // of what is passed on
+/// The longest body that is buffered completely, in bytes.
+constexpr std::size_t kBodyLimit = 64 * 1024;
+/// The longest body that is forwarded, in bytes.
+constexpr std::uint64_t kLargestBody = 32 * 1024 * 1024;
+/// The longest head of a message, in bytes.
 constexpr std::uint32_t kHeaderLimit = 16 * 1024;
 
-// Whether reading ended on bytes that are not a message within the bounds, and not on the connection's end.
+/// Whether reading ended on bytes that are no message within the limits, and not with the connection.
 inline bool malformed(boost::system::error_code error) {
     using Http = boost::beast::http::error;
     return error.category() == make_error_code(Http::end_of_stream).category() &&
            error != Http::end_of_stream && error != Http::partial_message;
 }
 
-// Reads one message within the bounds. The length that a header states is held against them before the body
-// is read: Beast 1.74 lets a body pass that comes along with its header, and reserves what is stated.
+/// Reads one message within the limits, and calls `handler(error)`. The length that a header states is
+/// checked before the body is read: Beast 1.74 accepts a longer body that comes along with its header, and
+/// reserves the memory for any length stated.
 template <class Socket, class Buffer, class Parser, class Handler>
 void async_read_bounded(Socket& socket, Buffer& buffer, Parser& parser, std::size_t body_limit,
                         Handler handler) {
@@ -41,27 +47,34 @@
         });
 }
 
-// Copies what belongs to the message itself and not to the connection that it came on.
-template <class To, class From>
-void copy_end_to_end(To& to, const From& from) {
+/// Whether a header field belongs to a connection, and not to the message that came on it.
+inline bool is_hop_by_hop(boost::beast::http::field name) {
     using boost::beast::http::field;
-    for (const auto& header : from) switch (header.name()) {
-            case field::connection:
-            case field::content_length:
-            case field::expect:
-            case field::host:
-            case field::keep_alive:
-            case field::proxy_authenticate:
-            case field::proxy_authorization:
-            case field::proxy_connection:
-            case field::te:
-            case field::trailer:
-            case field::transfer_encoding:
-            case field::upgrade:
-                break;
-            default:
-                to.insert(header.name(), header.name_string(), header.value());
-        }
+    switch (name) {
+        case field::connection:
+        case field::content_length:
+        case field::expect:
+        case field::host:
+        case field::keep_alive:
+        case field::proxy_authenticate:
+        case field::proxy_authorization:
+        case field::proxy_connection:
+        case field::te:
+        case field::trailer:
+        case field::transfer_encoding:
+        case field::upgrade:
+            return true;
+        default:
+            return false;
+    }
+}
+
+/// Copies the header fields that belong to the message itself.
+template <class Target, class Source>
+void copy_end_to_end(Target& target, const Source& source) {
+    for (const auto& header : source) {
+        if (!is_hop_by_hop(header.name())) target.insert(header.name(), header.name_string(), header.value());
+    }
 }
 
 }  // namespace mothring::net
--- a/src/net/message_writer.hpp
+++ b/src/net/message_writer.hpp
@@ -1,7 +1,8 @@
-// Writing HTTP messages so that it is known at any time whether their last byte has been handed to the
-// kernel, and so that no handler is lost where memory is short: Asio's and Beast's composed writes tell the
-// first only in their handler, a turn of the loop later, and drop that handler when an allocation within them
-// fails.
+/// @file
+/// Writes HTTP messages in non-blocking steps. It is known at any time whether the last byte has been handed
+/// to the kernel, and no handler is lost where memory is short. The composed writes of Asio and Beast report
+/// the first only in their handler, a turn of the event loop later, and drop that handler where an allocation
+/// within them fails.
 #pragma once
 
 #include <boost/beast/core/buffers_cat.hpp>
@@ -18,7 +19,7 @@
 /// the socket takes no more for now the error is `would_block`, and the next call goes on from there.
 using WriteStep = std::function<bool(Tcp::socket&, boost::system::error_code&)>;
 
-/// Writes a sequence of buffers, which have to stay until it has been written.
+/// A step that writes a sequence of buffers, whose memory has to stay valid until all is written.
 template <class Buffers>
 WriteStep write_step(const Buffers& buffers) {
     return [rest = boost::beast::buffers_suffix<Buffers>(buffers)](
@@ -29,9 +30,12 @@
 }
 
 /// Which part of a message is written.
-enum class Part { whole, header };
+enum class Part {
+    whole,  ///< Header and body.
+    header  ///< The header only.
+};
 
-/// Writes that part of a message, which has to stay until it has been written.
+/// A step that writes that part of a message, which has to stay valid until all is written.
 template <bool IsRequest, class Body, class Fields>
 WriteStep write_step(boost::beast::http::message<IsRequest, Body, Fields>& message, Part part) {
     namespace http = boost::beast::http;
@@ -43,12 +47,14 @@
     };
 }
 
-/// Writes until everything is written (true), or a call fails; `would_block` among others.
+/// Writes as much as the kernel takes.
+/// @param failed  set where a call fails, with `would_block` among others.
+/// @return whether everything has been written.
 inline bool write_what_is_taken(const WriteStep& step, Tcp::socket& socket,
                                 boost::system::error_code& failed) {
-    bool all = false;
-    while (!all && !failed) all = step(socket, failed);
-    return all && !failed;
+    bool is_all_written = false;
+    while (!is_all_written && !failed) is_all_written = step(socket, failed);
+    return is_all_written && !failed;
 }
 
 }  // namespace mothring::net
--- a/src/net/socket_errors.hpp
+++ b/src/net/socket_errors.hpp
@@ -1,4 +1,5 @@
-// What a failed call on a socket tells: of this machine, of one connection, or of nothing at all.
+/// @file
+/// What the error of a socket call is about: this machine, one connection, or nothing at all.
 #pragma once
 
 #include <poll.h>
@@ -11,22 +12,23 @@
 
 namespace mothring::net {
 
-/// Whether a signal came in between: the call has done nothing, and says nothing of what there is to do.
+/// Whether a signal interrupted the call, which has done nothing and tells nothing of the socket.
 inline bool is_interrupted(boost::system::error_code error) {
     return error == boost::asio::error::interrupted;
 }
 
-/// Whether nothing is wrong: there is nothing to read yet, or a signal came in between. Wait, and call again.
+/// Whether nothing is wrong: the call would have had to wait, or a signal interrupted it. Wait, and call
+/// again.
 inline bool is_to_be_repeated(boost::system::error_code error) {
     return error == boost::asio::error::would_block || error == boost::asio::error::try_again ||
            is_interrupted(error);
 }
 
-/// A signal may interrupt a call that does not wait, but not for ever: so often it is made at most.
+/// How often a call that signals interrupt is made at most.
 inline constexpr int kInterruptedTries = 16;
 
-/// Makes a call on a non-blocking socket, `call(error)`, anew while signals interrupt it, and returns its
-/// error: `interrupted` only where that came kInterruptedTries times in a row.
+/// Makes a call on a non-blocking socket, `call(error)`, again while signals interrupt it.
+/// @return its error; `interrupted` only after kInterruptedTries calls.
 template <class Call>
 boost::system::error_code repeated_while_interrupted(Call call) {
     boost::system::error_code error;
@@ -37,7 +39,7 @@
     return error;
 }
 
-/// Whether this machine has no descriptor or no memory for it now.
+/// Whether this machine lacks the descriptor or the memory for the call.
 inline bool is_shortage(boost::system::error_code error) {
     if (error.category() != boost::system::system_category()) return false;
     switch (error.value()) {
@@ -52,7 +54,7 @@
 }
 
 /// Whether connecting has failed at this machine, for want of a port, a route, a descriptor or memory, or by
-/// a rule of its own: that says nothing of whoever was to be reached.
+/// a rule of its own. Such an error tells nothing of the other side.
 inline bool is_local_failure(boost::system::error_code error) {
     if (is_shortage(error) || is_to_be_repeated(error)) return true;
     if (error.category() != boost::system::system_category()) return false;
@@ -69,27 +71,29 @@
     }
 }
 
-/// When a call that fails again and again is to be made anew. Most failures are of one connection or one
-/// datagram, and what is behind it must not wait; a shortage goes on for a while, and so may any failure that
-/// comes many times in a row.
+/// Decides whether a call that has failed is retried at once or after a pause. Most failures are about one
+/// connection or datagram, and those behind it must not wait. A shortage lasts for a while, and so may any
+/// failure that comes many times in a row. RetryPacer has the timer as well.
 class FailurePace {
 public:
+    /// A call has succeeded.
     void succeeded() { in_a_row_ = 0; }
-    /// Whether to pause after this failure; else the next call is due at once.
+    /// @return whether to pause after this failure; else the next call is due at once.
     bool pauses_after(boost::system::error_code failed) {
-        if (!is_shortage(failed) && ++in_a_row_ < kAtOnce) return false;
+        if (!is_shortage(failed) && ++in_a_row_ < kFailuresBeforePause) return false;
         in_a_row_ = 0;
         return true;
     }
 
 private:
-    static constexpr int kAtOnce = 16;
+    /// Failures in a row after which there is a pause.
+    static constexpr int kFailuresBeforePause = 16;
 
     int in_a_row_ = 0;
 };
 
-/// Those of the events that hold for a descriptor now, without waiting; POLLHUP and POLLERR are always among
-/// those asked for.
+/// Polls a descriptor without waiting.
+/// @return those of the events that hold now; POLLHUP and POLLERR are always included.
 inline short events_now(int descriptor, short events) {
     pollfd entry{descriptor, events, 0};
     const int answered = uninterrupted(kInterruptedTries, [&] { return ::poll(&entry, 1, 0); });
--- a/src/node/operator.cpp
+++ b/src/node/operator.cpp
@@ -2,8 +2,11 @@
 
 #include <algorithm>
 #include <array>
+#include <boost/asio/steady_timer.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
+#include <string>
+#include <utility>
 
 #include "net/clock.hpp"
 #include "net/http_message.hpp"
@@ -17,13 +20,20 @@
 
 namespace {
 
-constexpr Millis kHeadTime = 5000;  // for a whole call; holders are told to go after it
+/// Until the head of a request has to be complete; then the connection is closed.
+constexpr Millis kHeadTimeout = 5000;
+/// How long the caller may take to close its side after the response.
 constexpr Millis kLingerTime = 300;
-constexpr Millis kAcceptAgain = 20;  // when no descriptor is to be had
+constexpr Millis kAcceptPause = 20;
 constexpr std::uint32_t kHeadLimit = 4 * 1024;
+constexpr std::size_t kDiscardSize = 512;
+
+constexpr const char* kReadyPath = "/ready";
+constexpr const char* kMetricsPath = "/metrics";
 
 }  // namespace
 
+/// One connection: reads a request, answers it, and waits for the caller to close.
 class OperatorListener::Call : public std::enable_shared_from_this<Call> {
 public:
     Call(OperatorListener& owner, net::Tcp::socket socket)
@@ -32,13 +42,14 @@
     }
 
     void begin() {
-        close_after(kHeadTime);
+        close_after(kHeadTimeout);
         http::async_read_header(socket_, buffer_, parser_,
                                 [self = shared_from_this()](error_code failed, std::size_t) {
-                                    if (self->owner_) self->heard(failed);
+                                    if (self->owner_) self->on_request(failed);
                                 });
     }
-    bool whole() const { return whole_; }
+    /// Whether the request has come, or can't come any more.
+    bool has_request() const { return has_request_; }
 
     void close() {
         if (!owner_) return;
@@ -50,8 +61,8 @@
     }
 
 private:
-    void heard(error_code failed) {
-        whole_ = true;
+    void on_request(error_code failed) {
+        has_request_ = true;
         if (!failed) return answer(http::status::ok);
         if (!net::malformed(failed)) return close();
         const bool large = failed == http::error::header_limit || failed == http::error::buffer_overflow;
@@ -59,8 +70,8 @@
     }
 
     void answer(http::status status) {
-        response_.version(11);
-        if (status == http::status::ok) status = call();
+        response_.version(net::kHttpVersion);
+        if (status == http::status::ok) status = handle_request();
         response_.result(status);
         if (status == http::status::method_not_allowed) response_.set(http::field::allow, "GET");
         if (response_.body().empty()) response_.body() = std::string(http::obsolete_reason(status)) + "\n";
@@ -69,19 +80,20 @@
         http::async_write(socket_, response_, [self = shared_from_this()](error_code error, std::size_t) {
             if (!self->owner_) return;
             if (error) return self->close();
-            // Closing over unread bytes could take the answer with it.
+            // Closing while bytes are unread could drop the response on its way.
             self->socket_.shutdown(net::Tcp::socket::shutdown_send, error);
             self->close_after(kLingerTime);
             self->discard();
         });
     }
 
-    http::status call() {
+    /// Calls back for what the request asks for, and sets the body of the response.
+    http::status handle_request() {
         const auto target = parser_.get().target();
         const auto path = target.substr(0, target.find('?'));
-        if (path != "/ready" && path != "/metrics") return http::status::not_found;
+        if (path != kReadyPath && path != kMetricsPath) return http::status::not_found;
         if (parser_.get().method() != http::verb::get) return http::status::method_not_allowed;
-        if (path == "/ready")
+        if (path == kReadyPath)
             return owner_->callbacks_.ready() ? http::status::ok : http::status::service_unavailable;
         response_.set(http::field::content_type, "application/json");
         response_.body() = owner_->callbacks_.metrics();
@@ -89,7 +101,7 @@
     }
 
     void discard() {
-        socket_.async_read_some(asio::buffer(scrap_),
+        socket_.async_read_some(asio::buffer(discarded_),
                                 [self = shared_from_this()](error_code failed, std::size_t) {
                                     if (failed) return self->close();
                                     if (self->owner_) self->discard();
@@ -103,20 +115,23 @@
         });
     }
 
-    OperatorListener* owner_;  // none: closed
+    OperatorListener* owner_;  // null: closed
     net::Tcp::socket socket_;
     asio::steady_timer timer_;
     boost::beast::flat_buffer buffer_{2 * kHeadLimit};
     http::request_parser<http::empty_body> parser_;
     http::response<http::string_body> response_;
-    std::array<char, 512> scrap_{};
-    bool whole_ = false;
+    std::array<char, kDiscardSize> discarded_{};
+    bool has_request_ = false;
 };
 
 OperatorListener::OperatorListener(asio::io_context& io, const net::Tcp::endpoint& listen,
                                    Callbacks callbacks)
-    : io_(io), acceptor_(io, listen, true), callbacks_(std::move(callbacks)), timer_(io) {
-    // Else Asio waits for the next connection where one has been aborted.
+    : io_(io),
+      acceptor_(io, listen, true),
+      callbacks_(std::move(callbacks)),
+      accept_pacer_(io, kAcceptPause) {
+    // Without it Asio would wait for the next connection where one has been aborted.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     acceptor_.non_blocking(true);
     acceptor_.listen(asio::socket_base::max_listen_connections);
@@ -124,7 +139,10 @@
 }
 
 OperatorListener::~OperatorListener() {
-    while (!calls_.empty()) CallPtr(calls_.front())->close();
+    while (!calls_.empty()) {
+        const CallPtr call = calls_.front();
+        call->close();
+    }
 }
 
 void OperatorListener::accept() {
@@ -133,15 +151,15 @@
     });
 }
 
-// The next one is accepted whatever this one leads to.
+/// The next connection is accepted whatever this one leads to.
 void OperatorListener::accept_waiting() {
     try {
         net::Tcp::socket socket(io_);
         error_code failed;
         acceptor_.accept(socket, failed);
         if (!failed)
-            accepted(std::move(socket));
-        else if (!net::is_to_be_repeated(failed) && accept_pace_.pauses_after(failed))
+            on_accepted(std::move(socket));
+        else if (!net::is_to_be_repeated(failed) && accept_pacer_.must_pause_after(failed))
             return accept_after_pause();
         accept();
     } catch (...) {  // no memory, say
@@ -150,26 +168,25 @@
     }
 }
 
-void OperatorListener::accepted(net::Tcp::socket socket) {
-    accept_pace_.succeeded();
+void OperatorListener::on_accepted(net::Tcp::socket socket) {
+    accept_pacer_.on_success();
     make_room();
     calls_.push_back(std::make_shared<Call>(*this, std::move(socket)));
-    CallPtr(calls_.back())->begin();
+    const CallPtr call = calls_.back();
+    call->begin();
 }
 
 void OperatorListener::accept_after_pause() {
-    timer_.expires_after(net::span(kAcceptAgain));
-    timer_.async_wait([this](error_code cancelled) {
-        if (!cancelled) accept();
-    });
+    accept_pacer_.pause([this] { accept(); });
 }
 
-// The longest holder without a whole call makes room; where all calls are whole, the longest here.
+/// At the limit, closes the oldest connection without a complete request; where there is none, the oldest.
 void OperatorListener::make_room() {
     if (calls_.size() < kCallers) return;
-    const auto holder =
-        std::find_if(calls_.begin(), calls_.end(), [](const CallPtr& call) { return !call->whole(); });
-    CallPtr(holder == calls_.end() ? calls_.front() : *holder)->close();
+    const auto waiting =
+        std::find_if(calls_.begin(), calls_.end(), [](const CallPtr& call) { return !call->has_request(); });
+    const CallPtr closing = waiting == calls_.end() ? calls_.front() : *waiting;
+    closing->close();
 }
 
 }  // namespace mothring::node
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -2,9 +2,8 @@
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
-
-#include "net/clock.hpp"
-#include "net/log.hpp"
+#include <boost/asio/error.hpp>
+#include <utility>
 
 namespace mothring::node {
 
@@ -12,14 +11,14 @@
 
 namespace {
 
-constexpr Millis kReceiveAgain = 20;  // when nothing can be received
+constexpr Millis kReceivePause = 20;
 
 }  // namespace
 
 Peers::Peers(boost::asio::io_context& io, const net::Udp::endpoint& listen,
              std::vector<net::Udp::endpoint> peers, std::optional<net::Udp::endpoint> all, Received received)
     : socket_(io, listen),
-      again_(io),
+      receive_pacer_(io, kReceivePause),
       peers_(std::move(peers)),
       all_(std::move(all)),
       received_(std::move(received)) {
@@ -28,10 +27,17 @@
 }
 
 void Peers::tell(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes) {
-    if (bytes.size() > kLongest || (to ? *to >= peers_.size() : !all_))
+    const net::Udp::endpoint* const address = receiver(to);
+    if (bytes.size() > kLongest || !address)
         return net::log(spdlog::level::warn, "peer.not_sent", {{"bytes", bytes.size()}});
-    error_code lost;  // as any datagram may be
-    socket_.send_to(boost::asio::buffer(bytes), to ? peers_[*to] : *all_, 0, lost);
+    error_code ignored;  // any datagram may be lost
+    socket_.send_to(boost::asio::buffer(bytes), *address, 0, ignored);
+}
+
+/// Null: there is none.
+const net::Udp::endpoint* Peers::receiver(std::optional<std::uint32_t> to) const {
+    if (!to) return all_ ? &*all_ : nullptr;
+    return *to < peers_.size() ? &peers_[*to] : nullptr;
 }
 
 void Peers::receive() {
@@ -39,15 +45,15 @@
                                [this](error_code failed, std::size_t size) {
                                    if (failed == boost::asio::error::operation_aborted) return;
                                    if (failed) return receive_after(failed);
-                                   pace_.succeeded();
-                                   take(size);
+                                   receive_pacer_.on_success();
+                                   on_datagram(size);
                                });
 }
 
-// The next one is received whatever this one leads to.
-void Peers::take(std::size_t size) {
+/// The next datagram is received whatever this one leads to.
+void Peers::on_datagram(std::size_t size) {
     try {
-        hand_on(size);
+        dispatch(size);
         receive();
     } catch (...) {  // no memory, say
         receive_after_pause();
@@ -55,23 +61,26 @@
     }
 }
 
-void Peers::hand_on(std::size_t size) {
+/// Reports the datagram in the buffer, where it is a message from a peer.
+void Peers::dispatch(std::size_t size) {
     const auto from = std::find(peers_.begin(), peers_.end(), sender_);
-    if (size > kLongest || from == peers_.end())
-        return stray_.log(spdlog::level::warn, "peer.stray_datagram",
-                          {{"bytes", size}, {"from", sender_.address().to_string()}});
-    received_(static_cast<std::uint32_t>(from - peers_.begin()), {buffer_.begin(), buffer_.begin() + size});
+    if (size > kLongest || from == peers_.end()) {
+        return stray_log_.log(spdlog::level::warn, "peer.stray_datagram",
+                              {{"bytes", size}, {"from", sender_.address().to_string()}});
+    }
+    const auto peer = static_cast<std::uint32_t>(from - peers_.begin());
+    received_(peer, {buffer_.begin(), buffer_.begin() + size});
 }
 
 void Peers::receive_after(error_code failed) {
-    pace_.pauses_after(failed) ? receive_after_pause() : receive();
+    if (receive_pacer_.must_pause_after(failed))
+        receive_after_pause();
+    else
+        receive();
 }
 
 void Peers::receive_after_pause() {
-    again_.expires_after(net::span(kReceiveAgain));
-    again_.async_wait([this](error_code cancelled) {
-        if (!cancelled) receive();
-    });
+    receive_pacer_.pause([this] { receive(); });
 }
 
 }  // namespace mothring::node
