--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,8 +1,9 @@
-// The command line (CLI11) and nothing else:
-//   mothring [run [--config FILE.toml]]   the sidecar; with no subcommand it reads LB_CONFIG as always
-//   mothring check-config FILE            validates a TOML or the platform's JSON file, prints the settings
-//   mothring lab SCENARIO.toml --out DIR  an experiment, by the program mothring_lab beside this one
-//   mothring version
+/// @file
+/// The command line (CLI11):
+///   mothring [run [--config FILE.toml]]   the sidecar; with no subcommand it reads LB_CONFIG as always
+///   mothring check-config FILE            validates a TOML or the platform's JSON file, prints the settings
+///   mothring lab SCENARIO.toml --out DIR  an experiment, by the program mothring_lab beside this one
+///   mothring version
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -18,6 +19,7 @@
 #include <optional>
 #include <string>
 #include <thread>
+#include <utility>
 #include <vector>
 
 #include "config/config.hpp"
@@ -48,57 +50,74 @@
     return 1;
 }
 
+// Calls `handle` at each SIGHUP.
+void on_each_reload(boost::asio::signal_set& reload, const std::function<void()>& handle) {
+    reload.async_wait([&reload, handle](boost::system::error_code failed, int) {
+        if (failed) return;
+        on_each_reload(reload, handle);
+        handle();
+    });
+}
+
+// A configuration that can't be read changes nothing.
+void reconfigure(node::Sidecar& sidecar, const std::optional<std::filesystem::path>& options_path) {
+    try {
+        const config::Options options = options_at(options_path);
+        sidecar.reconfigure(config::effective_config(options));
+    } catch (const std::exception& error) {
+        net::log(net::LogLevel::err, "config.reload_failed", {{"error", error.what()}});
+    }
+}
+
+// What one connection throws does not end the others.
+void run_until_stopped(boost::asio::io_context& io, node::Sidecar& sidecar) {
+    while (!io.stopped()) {
+        try {
+            io.run();
+        } catch (const std::exception& error) {
+            net::log(net::LogLevel::err, "io.failed", {{"error", error.what()}});
+            sidecar.handle_failure();
+        }
+    }
+}
+
 // Throws where it can't start.
 void serve(const std::optional<std::filesystem::path>& options_path) {
     const config::Options options = options_at(options_path);
     config::Config config = config::effective_config(options);
     net::log_start(config.name, options.log_level);
     boost::asio::io_context io(1);
-    // Before anything listens: from then on a signal may come, and its default action would end all.
-    boost::asio::signal_set signals(io, SIGTERM, SIGINT), reload(io, SIGHUP);
+    // Before anything listens: from then on a signal may come, and its default action would end the process.
+    boost::asio::signal_set signals(io, SIGTERM, SIGINT);
+    boost::asio::signal_set reload(io, SIGHUP);
     node::Sidecar sidecar(io, std::move(config));
     signals.async_wait([&](boost::system::error_code failed, int) {
         if (!failed) sidecar.drain([&] { io.stop(); });
     });
-    std::function<void()> await_reload = [&] {
-        reload.async_wait([&](boost::system::error_code failed, int) {
-            if (failed) return;
-            await_reload();
-            try {
-                const config::Options again = options_at(options_path);
-                sidecar.reconfigure(config::effective_config(again));
-            } catch (const std::exception& error) {  // what it has goes on serving
-                net::log(net::LogLevel::err, "config.reload_failed", {{"error", error.what()}});
-            }
-        });
-    };
-    await_reload();
-    while (!io.stopped()) try {
-            io.run();
-        } catch (const std::exception& error) {  // what one connection threw does not end the others
-            net::log(net::LogLevel::err, "io.failed", {{"error", error.what()}});
-            sidecar.handle_failure();
-        }
+    on_each_reload(reload, [&] { reconfigure(sidecar, options_path); });
+    run_until_stopped(io, sidecar);
 }
 
-// A start that finds this machine out of descriptors or memory is made again for a while: 5 s in all, half of
-// the time within which most sidecars have to be ready (STANDING, "Pass or fail").
-constexpr int kStarts = 100;
-constexpr std::chrono::milliseconds kStartAgain(50);
+// A start that is short of descriptors or memory is retried for 5 s in all: half of the time within which
+// most sidecars have to be ready (STANDING, "Pass or fail").
+constexpr int kMaxStartAttempts = 100;
+constexpr std::chrono::milliseconds kStartRetryDelay(50);
 
 int run(const std::optional<std::filesystem::path>& options_path) {
     open_standard_descriptors();
     std::signal(SIGPIPE, SIG_IGN);  // whoever reads the log may go
-    for (int starts = 1;; ++starts) try {
+    for (int attempt = 1;; ++attempt) {
+        try {
             serve(options_path);
             return 0;
         } catch (const boost::system::system_error& error) {
-            if (!net::is_shortage(error.code()) || starts == kStarts) return not_started(error);
+            if (!net::is_shortage(error.code()) || attempt == kMaxStartAttempts) return not_started(error);
             net::log(net::LogLevel::warn, "start.put_off", {{"error", error.what()}});
-            std::this_thread::sleep_for(kStartAgain);
+            std::this_thread::sleep_for(kStartRetryDelay);
         } catch (const std::exception& error) {
             return not_started(error);
         }
+    }
 }
 
 // Exit 0 with the effective settings on standard output; 2 with the key and reason on standard error.
--- a/src/node/hot_restart_lock.cpp
+++ b/src/node/hot_restart_lock.cpp
@@ -14,13 +14,12 @@
 
 namespace {
 
-constexpr off_t kMostProcesses = 16;      // of one sidecar at a time: bytes of the file
-constexpr std::size_t kMostReplaced = 4;  // descriptors for files that were replaced while held
-// After a failure, from the first look that has the lock on: what failed here failed the other processes too,
-// and each of them may be at its next look as late as one interval between looks and 150 ms of being held up.
-// At 50 ms between looks: (50 + 150) / 50.
-constexpr int kSettlingLooks = 4;
-constexpr int kMostInterruptions = 4;  // of one call at one look; then it counts as failed
+constexpr off_t kMaxProcesses = 16;  // of one sidecar at a time: bytes of the file
+constexpr std::size_t kMaxReplacedFiles = 4;
+// Each process that failed for the same reason has its next check after at most a check's interval of 50 ms
+// and a stall of 150 ms.
+constexpr int kSettlingChecks = 4;
+constexpr int kMaxCallAttempts = 4;  // of a call that signals interrupt
 constexpr mode_t kOwnerOnly = 0600;
 
 struct flock range_of(off_t start, off_t length) {
@@ -49,8 +48,8 @@
     : path_(folder + "/whinledge-" + name + ".lives"), calls_(calls) {}
 
 HotRestartLock::~HotRestartLock() {
-    if (held_.file >= 0) ::close(held_.file);
-    for (const Held& old : replaced_) ::close(old.file);
+    if (current_.is_open()) ::close(current_.file);
+    for (const LockedFile& old : replaced_) ::close(old.file);
 }
 
 std::string HotRestartLock::temporary_folder() {
@@ -61,34 +60,36 @@
 
 std::string HotRestartLock::error() const { return std::generic_category().message(error_); }
 
-OtherProcess HotRestartLock::other_lives() {
+OtherProcess HotRestartLock::check() {
     others_in_replaced();  // makes room for one more
-    const bool seen_by_others = holds_file_at_path() || (take() && holds_file_at_path());
+    const bool seen_by_others = holds_file_at_path() || (lock_file_at_path() && holds_file_at_path());
     const OtherProcess before = others_in_replaced();
-    const OtherProcess now = others_in(held_.file);
-    const bool settled = settle(seen_by_others);
+    const OtherProcess now = others_in(current_.file);
+    const bool settled = count_settling(seen_by_others);
     if (now == OtherProcess::shared || before == OtherProcess::shared) return OtherProcess::shared;
     const bool known = settled && now == OtherProcess::alone && before == OtherProcess::alone;
     return known ? OtherProcess::alone : OtherProcess::unknown;
 }
 
-// Whether another process that failed for the same reason must have its lock by now.
-bool HotRestartLock::settle(bool seen_by_others) {
-    if (!seen_by_others)
-        settling_ = kSettlingLooks;
-    else if (settling_ > 0)
-        --settling_;
+// Whether another process that failed for the same reason must have its lock by now. Counts this check.
+bool HotRestartLock::count_settling(bool seen_by_others) {
+    if (seen_by_others && settling_checks_ == 0) return true;
+    if (seen_by_others)
+        --settling_checks_;
     else
-        return true;
+        settling_checks_ = kSettlingChecks;
     return false;
 }
 
-// Closes those in which nobody else is left.
+// Closes the files in which no other process holds a lock any more.
 OtherProcess HotRestartLock::others_in_replaced() {
     OtherProcess found = OtherProcess::alone;
-    std::erase_if(replaced_, [&](const Held& old) {
+    std::erase_if(replaced_, [&](const LockedFile& old) {
         const OtherProcess there = others_in(old.file);
-        if (there == OtherProcess::alone) return ::close(old.file), true;
+        if (there == OtherProcess::alone) {
+            ::close(old.file);
+            return true;
+        }
         if (found != OtherProcess::shared) found = there;
         return false;
     });
@@ -97,65 +98,64 @@
 
 bool HotRestartLock::holds_file_at_path() {
     struct stat status {};
-    if (net::uninterrupted(kMostInterruptions, [&] { return calls_.status(path_.c_str(), status); }) != 0)
-        return failed(errno);
-    return held_.is(status) || failed(ESTALE);
+    if (net::uninterrupted(kMaxCallAttempts, [&] { return calls_.status(path_.c_str(), status); }) != 0)
+        return fail(errno);
+    return current_.is_same_file(status) || fail(ESTALE);
 }
 
-// Opens the file at the path and locks a byte of it. What was held before stays open beside it.
-bool HotRestartLock::take() {
+// Opens the file at the path and locks a byte of it. The file that was locked before stays open beside it.
+bool HotRestartLock::lock_file_at_path() {
     const int flags = O_RDWR | O_CREAT | O_CLOEXEC | O_NOCTTY;
     const int file =
-        net::uninterrupted(kMostInterruptions, [&] { return calls_.open(path_.c_str(), flags, kOwnerOnly); });
-    if (file < 0) return failed(errno);
+        net::uninterrupted(kMaxCallAttempts, [&] { return calls_.open(path_.c_str(), flags, kOwnerOnly); });
+    if (file < 0) return fail(errno);
     struct stat status {};
     if (calls_.status(file, status) != 0) {
-        failed(errno);
-    } else if (reuse(file, status)) {
+        fail(errno);
+    } else if (reuse_if_locked(file, status)) {
         return true;
-    } else if (replaced_.size() >= kMostReplaced) {
-        failed(EMFILE);
+    } else if (replaced_.size() >= kMaxReplacedFiles) {
+        fail(EMFILE);
     } else if (lock_a_byte(file)) {
-        if (held_.file >= 0) replaced_.push_back(held_);
-        held_ = {file, status.st_dev, status.st_ino};
+        if (current_.is_open()) replaced_.push_back(current_);
+        current_ = {file, status.st_dev, status.st_ino};
         return true;
     }
     ::close(file);
     return false;
 }
 
-// A file that is held already is not locked twice: a second lock would be taken for another process.
-bool HotRestartLock::reuse(int file, const struct stat& status) {
-    const auto old =
-        std::find_if(replaced_.begin(), replaced_.end(), [&](const Held& held) { return held.is(status); });
-    if (!held_.is(status) && old == replaced_.end()) return false;
-    if (old != replaced_.end()) std::swap(*old, held_);
+// A file that is locked already is not locked twice: a second lock would be taken for another process.
+bool HotRestartLock::reuse_if_locked(int file, const struct stat& status) {
+    const auto old = std::find_if(replaced_.begin(), replaced_.end(),
+                                  [&](const LockedFile& locked) { return locked.is_same_file(status); });
+    if (!current_.is_same_file(status) && old == replaced_.end()) return false;
+    if (old != replaced_.end()) std::swap(*old, current_);
     ::close(file);
     return true;
 }
 
 bool HotRestartLock::lock_a_byte(int file) {
-    for (off_t byte = 0; byte < kMostProcesses; ++byte) {
+    for (off_t byte = 0; byte < kMaxProcesses; ++byte) {
         struct flock range = range_of(byte, 1);
-        if (net::uninterrupted(kMostInterruptions, [&] { return calls_.lock(file, F_OFD_SETLK, range); }) ==
-            0)
+        if (net::uninterrupted(kMaxCallAttempts, [&] { return calls_.lock(file, F_OFD_SETLK, range); }) == 0)
             return true;
         if (errno != EAGAIN && errno != EACCES) break;  // not another process's byte: a fault
     }
-    return failed(errno);
+    return fail(errno);
 }
 
 OtherProcess HotRestartLock::others_in(int file) {
     if (file < 0) return OtherProcess::unknown;
-    struct flock range = range_of(0, kMostProcesses);
-    if (net::uninterrupted(kMostInterruptions, [&] { return calls_.lock(file, F_OFD_GETLK, range); }) != 0) {
-        failed(errno);
+    struct flock range = range_of(0, kMaxProcesses);
+    if (net::uninterrupted(kMaxCallAttempts, [&] { return calls_.lock(file, F_OFD_GETLK, range); }) != 0) {
+        fail(errno);
         return OtherProcess::unknown;
     }
     return range.l_type == F_UNLCK ? OtherProcess::alone : OtherProcess::shared;
 }
 
-bool HotRestartLock::failed(int error) {
+bool HotRestartLock::fail(int error) {
     error_ = error;
     return false;
 }
--- a/src/node/hot_restart_monitor.cpp
+++ b/src/node/hot_restart_monitor.cpp
@@ -25,7 +25,7 @@
 // While it is not known whether there is another process, the limits count as if there were one.
 void HotRestartMonitor::check() {
     const OtherProcess before = other_process_;
-    other_process_ = lock_.other_lives();
+    other_process_ = lock_.check();
     if (other_process_ == before) return;
     log_state();
     const bool may_overlap = other_process_ != OtherProcess::alone;
--- a/src/node/server_start_times.hpp
+++ b/src/node/server_start_times.hpp
@@ -1,43 +1,50 @@
-// When each server started, on the sidecar's own time line. Servers report it by a wall clock (`started_ms`),
-// and a wall clock may be stepped, forward or back: this machine's, the server's, or all. So each start is
-// dated once, at the first sight of that incarnation, and its age is carried on by the monotonic clock.
-// No clock is read here: times come in.
+/// @file
+/// When each server started, on the sidecar's own time line.
 #pragma once
 
+#include <cstddef>
 #include <deque>
 #include <optional>
 #include <string>
 #include <unordered_map>
-#include <utility>
 
 #include "mothring/balancer.hpp"
 
 namespace mothring::node {
 
+/// Dates the starts of servers. They report them by a wall clock (`started_ms`), and a wall clock may be
+/// stepped, forward or back: this machine's, the server's, or all. So each start is dated once, when that
+/// incarnation is first seen, and its age is carried on by the monotonic clock. Reads no clock itself.
 class ServerStartTimes {
 public:
-    // What is known of the time at which a list has come (ms).
+    /// What is known of the time at which a list came.
     struct Moment {
-        Millis now = 0;   // on the sidecar's time line, which runs on with the monotonic clock
-        Millis wall = 0;  // by this machine's wall clock, Unix time
-        // Since the answer of discovery before this one. None: there is none that told all up to then.
+        /// On the sidecar's time line, which runs on with the monotonic clock.
+        Millis now = 0;
+        /// By this machine's wall clock, Unix time.
+        Millis wall = 0;
+        /// The time since discovery's previous answer. Absent: there is none that was complete up to then.
         std::optional<Millis> since_answer{};
     };
+
     struct Start {
-        Millis at = 0;         // on the sidecar's time line; 0: long ago
-        bool dated = true;     // else the report can't be right, and `at` is the first sight of it
-        bool changed = false;  // `dated`, against what was last told of this server
+        /// On the sidecar's time line; 0: long ago.
+        Millis at = 0;
+        /// The report can be right; else `at` is when it was first seen.
+        bool dated = true;
+        /// `dated` differs from what was last returned for this server.
+        bool changed = false;
     };
 
-    // Of a server that is on the list; `reported`: its `started_ms`, 0 for long ago. Another report than the
-    // one before, earlier or later, is another incarnation, and starts later than the one before. Only 0
-    // tells of none.
+    /// The start of a server that is on the list. A report that differs from the previous one, earlier or
+    /// later, is of another incarnation, which starts later than the previous one; only 0 is not.
+    /// @param reported  its `started_ms`; 0: long ago.
     Start start_of(const std::string& server, Millis reported, const Moment& moment);
 
-    // The server is on no list any more. Should it return, the same incarnation keeps its age for some time.
+    /// The server is on no list any more. If it returns within some time, the same incarnation keeps its age.
     void unlisted(const std::string& server, Millis now);
 
-    // Servers of which something is kept.
+    /// Servers of which something is remembered.
     std::size_t size() const { return records_.size(); }
 
 private:
@@ -47,10 +54,18 @@
         bool dated = true;
         std::optional<Millis> unlisted_at;
     };
+    struct Unlisted {
+        Millis at = 0;
+        std::string server;
+    };
+
+    static Start date(const Record* previous, Millis reported, const Moment& moment);
     void forget_old(Millis now);
 
-    std::unordered_map<std::string, Record> records_;      // of servers that have reported a start
-    std::deque<std::pair<Millis, std::string>> unlisted_;  // when, and who; the earliest first
+    /// Of servers that have reported a start.
+    std::unordered_map<std::string, Record> records_;
+    /// The earliest first.
+    std::deque<Unlisted> unlisted_;
 };
 
 }  // namespace mothring::node
--- a/tests/hot_restart_lock_test.cpp
+++ b/tests/hot_restart_lock_test.cpp
@@ -55,7 +55,7 @@
     // The first answer but `unknown`, and after how many of these.
     static std::pair<int, OtherProcess> settled(HotRestartLock& lock) {
         for (int looks = 0; looks < 20; ++looks)
-            if (const OtherProcess found = lock.other_lives(); found != unknown) return {looks, found};
+            if (const OtherProcess found = lock.check(); found != unknown) return {looks, found};
         return {20, unknown};
     }
 
@@ -89,28 +89,28 @@
 
 TEST_F(HotRestart, SeeEachOtherWhileBothLive) {
     HotRestartLock one(folder, "n1"), stranger(folder, "n2");
-    EXPECT_EQ(one.other_lives(), alone);
+    EXPECT_EQ(one.check(), alone);
     auto two = std::make_unique<HotRestartLock>(folder, "n1");
-    EXPECT_EQ(two->other_lives(), shared);
-    EXPECT_EQ(one.other_lives(), shared);
-    EXPECT_EQ(stranger.other_lives(), alone);
+    EXPECT_EQ(two->check(), shared);
+    EXPECT_EQ(one.check(), shared);
+    EXPECT_EQ(stranger.check(), alone);
     two.reset();
-    EXPECT_EQ(one.other_lives(), alone);
+    EXPECT_EQ(one.check(), alone);
     HotRestartLock nowhere(folder + "/none", "n1");
-    EXPECT_EQ(nowhere.other_lives(), unknown);
+    EXPECT_EQ(nowhere.check(), unknown);
 }
 
 TEST_F(HotRestart, AnOlderVersionIsSeenAndSees) {
     {
         const OlderVersion before(file);
         HotRestartLock lock(folder, "n1");
-        EXPECT_EQ(lock.other_lives(), shared);
+        EXPECT_EQ(lock.check(), shared);
         EXPECT_TRUE(before.sees_another());
     }
     HotRestartLock lock(folder, "n1");
-    EXPECT_EQ(lock.other_lives(), alone);
+    EXPECT_EQ(lock.check(), alone);
     const OlderVersion after(file);
-    EXPECT_EQ(lock.other_lives(), shared);
+    EXPECT_EQ(lock.check(), shared);
     EXPECT_TRUE(after.sees_another());
 }
 
@@ -118,13 +118,13 @@
     for (const int error : {ENOSPC, EIO, EROFS, EACCES, EMFILE}) {
         calls.open_errors = {error, error};
         HotRestartLock late(folder, "n1", calls);
-        EXPECT_EQ(late.other_lives(), unknown) << error;
+        EXPECT_EQ(late.check(), unknown) << error;
         EXPECT_EQ(late.error(), std::generic_category().message(error));
         HotRestartLock other(folder, "n1");
-        EXPECT_EQ(other.other_lives(), alone) << error;
-        EXPECT_EQ(late.other_lives(), unknown) << error;
-        EXPECT_EQ(late.other_lives(), shared) << error;
-        EXPECT_EQ(other.other_lives(), shared) << error;
+        EXPECT_EQ(other.check(), alone) << error;
+        EXPECT_EQ(late.check(), unknown) << error;
+        EXPECT_EQ(late.check(), shared) << error;
+        EXPECT_EQ(other.check(), shared) << error;
     }
     for (const int error : {ENOLCK, EIO, EDEADLK, EINVAL}) {
         calls.set_errors = {error, error};
@@ -138,88 +138,88 @@
 
 TEST_F(HotRestart, AFailedReadOfTheLocksIsNotTakenForNoOther) {
     HotRestartLock one(folder, "n1", calls), two(folder, "n1");
-    two.other_lives();
-    EXPECT_EQ(one.other_lives(), shared);
+    two.check();
+    EXPECT_EQ(one.check(), shared);
     for (const int error : {EIO, ENOLCK}) {
         calls.get_errors = {error};
-        EXPECT_EQ(one.other_lives(), unknown) << error;
-        EXPECT_EQ(one.other_lives(), shared) << error;
+        EXPECT_EQ(one.check(), unknown) << error;
+        EXPECT_EQ(one.check(), shared) << error;
     }
 }
 
 TEST_F(HotRestart, AnInterruptedCallIsMadeAgainAtOnceAndNotForEver) {
     calls.open_errors = calls.set_errors = calls.get_errors = calls.path_errors = {EINTR, EINTR};
     HotRestartLock one(folder, "n1", calls);
-    EXPECT_EQ(one.other_lives(), alone);
+    EXPECT_EQ(one.check(), alone);
     calls.get_errors.assign(100, EINTR);
-    EXPECT_EQ(one.other_lives(), unknown);
+    EXPECT_EQ(one.check(), unknown);
     EXPECT_GE(calls.get_errors.size(), 90u);
 }
 
 // The path can't be looked at for once: what is held is not locked again, or it would see itself.
 TEST_F(HotRestart, AFailedLookAtThePathMakesNoSecondLock) {
     HotRestartLock one(folder, "n1", calls);
-    EXPECT_EQ(one.other_lives(), alone);
+    EXPECT_EQ(one.check(), alone);
     calls.path_errors = {EIO, EIO};
     EXPECT_EQ(settled(one), std::pair(1 + kSettlingLooks, alone));
 }
 
 TEST_F(HotRestart, AFolderThatAppearsLaterIsUsed) {
     HotRestartLock one(folder + "/later", "n1"), two(folder + "/later", "n1");
-    EXPECT_EQ(one.other_lives(), unknown);
-    EXPECT_EQ(two.other_lives(), unknown);
+    EXPECT_EQ(one.check(), unknown);
+    EXPECT_EQ(two.check(), unknown);
     std::filesystem::create_directory(folder + "/later");
-    EXPECT_EQ(one.other_lives(), unknown) << "the other has not looked yet";
-    EXPECT_EQ(two.other_lives(), shared);
-    EXPECT_EQ(one.other_lives(), shared);
+    EXPECT_EQ(one.check(), unknown) << "the other has not looked yet";
+    EXPECT_EQ(two.check(), shared);
+    EXPECT_EQ(one.check(), shared);
 }
 
 TEST_F(HotRestart, WhatLiesAtThePathIsNotReadAndNoObstacleForGood) {
     std::filesystem::create_directory(file);  // a directory: EISDIR
     HotRestartLock one(folder, "n1");
-    EXPECT_EQ(one.other_lives(), unknown);
+    EXPECT_EQ(one.check(), unknown);
     std::filesystem::remove(file);
     std::ofstream(file) << "left by somebody, half wri";
     EXPECT_EQ(settled(one), std::pair(kSettlingLooks, alone));
     HotRestartLock two(folder, "n1");
-    EXPECT_EQ(two.other_lives(), shared);
+    EXPECT_EQ(two.check(), shared);
     EXPECT_EQ(std::filesystem::file_size(file), 26u) << "nothing is written to it";
     std::filesystem::create_symlink(file, folder + "/whinledge-link.lives");
     HotRestartLock link(folder, "link");  // as older versions read it
-    EXPECT_EQ(link.other_lives(), shared);
+    EXPECT_EQ(link.check(), shared);
 }
 
 TEST_F(HotRestart, AFileDeletedOrReplacedWhileHeldIsLockedAnew) {
     HotRestartLock one(folder, "n1");
-    EXPECT_EQ(one.other_lives(), alone);
+    EXPECT_EQ(one.check(), alone);
     std::filesystem::remove(file);
     HotRestartLock two(folder, "n1");
-    EXPECT_EQ(two.other_lives(), alone) << "until the first has looked";
-    EXPECT_EQ(one.other_lives(), shared);
-    EXPECT_EQ(two.other_lives(), shared);
+    EXPECT_EQ(two.check(), alone) << "until the first has looked";
+    EXPECT_EQ(one.check(), shared);
+    EXPECT_EQ(two.check(), shared);
     std::ofstream(folder + "/other") << "";
     std::filesystem::rename(folder + "/other", file);
-    EXPECT_EQ(two.other_lives(), shared);
-    EXPECT_EQ(one.other_lives(), shared);
+    EXPECT_EQ(two.check(), shared);
+    EXPECT_EQ(one.check(), shared);
     HotRestartLock three(folder, "n1");
-    EXPECT_EQ(three.other_lives(), shared);
+    EXPECT_EQ(three.check(), shared);
 }
 
 // An older version does not notice that its file is gone: it must see us there, and we it.
 TEST_F(HotRestart, AnOlderVersionIsStillSeenInTheFileThatWasDeleted) {
     HotRestartLock lock(folder, "n1");
-    EXPECT_EQ(lock.other_lives(), alone);
+    EXPECT_EQ(lock.check(), alone);
     auto older = std::make_unique<OlderVersion>(file);
     std::filesystem::rename(file, folder + "/away");
     for (int look = 0; look < 3; ++look) {
-        EXPECT_EQ(lock.other_lives(), shared);
+        EXPECT_EQ(lock.check(), shared);
         EXPECT_TRUE(older->sees_another());
     }
     std::filesystem::rename(folder + "/away", file);  // it comes back
-    EXPECT_EQ(lock.other_lives(), shared);
+    EXPECT_EQ(lock.check(), shared);
     EXPECT_TRUE(older->sees_another());
     older.reset();
-    EXPECT_EQ(lock.other_lives(), alone);
+    EXPECT_EQ(lock.check(), alone);
 }
 
 TEST_F(HotRestart, AFileReplacedOverAndOverCostsABoundedNumberOfDescriptors) {
@@ -227,18 +227,18 @@
         return std::distance(std::filesystem::directory_iterator("/proc/self/fd"), {});
     };
     HotRestartLock lock(folder, "n1");
-    lock.other_lives();
+    lock.check();
     std::list<OlderVersion> older;
     const auto before = descriptors();
     for (int times = 0; times < 12; ++times) {
         older.emplace_back(file);
         std::filesystem::remove(file);
-        EXPECT_EQ(lock.other_lives(), shared);
+        EXPECT_EQ(lock.check(), shared);
     }
     EXPECT_LE(descriptors() - before, 12 + 4);
     older.clear();
     EXPECT_EQ(settled(lock).second, alone);
-    EXPECT_EQ(lock.other_lives(), alone);
+    EXPECT_EQ(lock.check(), alone);
     EXPECT_EQ(descriptors(), before);
 }
 
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -220,7 +220,7 @@
     config.operators = any_port;
     HotRestartLock other(HotRestartLock::temporary_folder(),
                          "127.0.0.1-" + std::to_string(config.listen.port()));
-    other.other_lives();
+    other.check();
     sidecar.emplace(io, config);
     ASSERT_TRUE(sidecar->limits_halved());
     until([&] { return watched_from("41"); });
