--- a/src/wire/wirehost.cpp
+++ b/src/wire/main.cpp
@@ -1,7 +1,8 @@
-// The process that the simulator starts: the wire on standard input and output.
+/// @file
+/// The process that the simulator starts: the wire on standard input and output.
 #include <iostream>
 
-#include "wire.hpp"
+#include "wire/host.hpp"
 
 int main() {
     std::ios::sync_with_stdio(false);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,10 +1,10 @@
 // The codec and the host, on text as the simulator would write it.
-#include "wire.hpp"
-
 #include <gtest/gtest.h>
 
 #include <sstream>
 
+#include "wire/host.hpp"
+
 namespace mothring::wire {
 namespace {
 
