--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -12,6 +12,8 @@
 
 using Json = nlohmann::json;
 
+constexpr int kHexBase = 16;
+
 [[noreturn]] void fail(const std::string& key, const std::string& what) {
     throw ConfigError("'" + key + "' " + what);
 }
@@ -81,7 +83,10 @@
             for (std::size_t i = 0; i < json.size(); ++i) add(json[i], prefix + std::to_string(i));
         } else if (json.is_array()) {
             std::string& list = values_[path];
-            for (const Json& item : json) (list += list.empty() ? "" : ",") += scalar(item);
+            for (const Json& item : json) {
+                if (!list.empty()) list += ',';
+                list += scalar(item);
+            }
         } else if (!json.is_null()) {
             values_[path] = scalar(json);
         }
@@ -96,6 +101,26 @@
     return at->is_number() ? at->get<Millis>() : kUnreadableStart;
 }
 
+// A state that is not known is handled as draining, the most careful: nothing new is sent there.
+EndpointState state_of(const std::string& word) {
+    if (word == "Ready") return EndpointState::active;
+    if (word == "Gone") return EndpointState::removed;
+    return EndpointState::draining;
+}
+
+DiscoveredServer server(const Json& entry) {
+    DiscoveredServer server;
+    server.id = get<std::string>(entry, "id");
+    server.state = state_of(get<std::string>(entry, "state"));
+    if (server.state != EndpointState::removed || entry.contains("addr"))
+        server.address = get_endpoint<net::Tcp>(entry, "addr");
+    server.zone = get_or<std::string>(entry, "zone", "");
+    server.kind = get_or<std::string>(entry, "kind", "");
+    server.cell = get_or<std::uint32_t>(entry, "cell", 0);
+    server.started = started(entry);
+    return server;
+}
+
 DiscoveryList members(const Json& json) {
     DiscoveryList list;
     list.version = get<std::uint64_t>(json, "version");
@@ -104,27 +129,14 @@
     if (!servers.is_array()) fail("servers", "has the wrong type");
     for (const Json& entry : servers) {
         if (!entry.is_object()) fail("servers", "has the wrong type");
-        DiscoveredServer m;
-        m.id = get<std::string>(entry, "id");
-        // A word not known is handled as the careful one of those that are: nothing new goes there.
-        const auto state = get<std::string>(entry, "state");
-        m.state = state == "Ready"  ? EndpointState::active
-                  : state == "Gone" ? EndpointState::removed
-                                    : EndpointState::draining;
-        if (m.state != EndpointState::removed || entry.contains("addr"))
-            m.address = get_endpoint<net::Tcp>(entry, "addr");
-        m.zone = get_or<std::string>(entry, "zone", "");
-        m.kind = get_or<std::string>(entry, "kind", "");
-        m.cell = get_or<std::uint32_t>(entry, "cell", 0);
-        m.started = started(entry);
-        list.members.push_back(std::move(m));
+        list.members.push_back(server(entry));
     }
     return list;
 }
 
 std::uint64_t read_seed(const std::string& hex) {
     std::uint64_t seed = 0;
-    if (!net::parse_number(hex, seed, 16)) fail("seed", "is not a hexadecimal number");
+    if (!net::parse_number(hex, seed, kHexBase)) fail("seed", "is not a hexadecimal number");
     return seed;
 }
 
@@ -156,9 +168,11 @@
     config.listen = get_endpoint<net::Tcp>(json, "listen");
     config.discovery = get_endpoint<net::Tcp>(json, "discovery");
     config.seed = read_seed(get<std::string>(json, "seed"));
-    if (const Json limits = get_or<Json>(json, "limits", Json::object()); limits.is_object())
-        config.sockets = get_or<std::size_t>(limits, "sockets", config.sockets),
+    const Json limits = get_or<Json>(json, "limits", Json::object());
+    if (limits.is_object()) {
+        config.sockets = get_or<std::size_t>(limits, "sockets", config.sockets);
         config.memory_mb = get_or<std::size_t>(limits, "memory_mb", config.memory_mb);
+    }
     if (const auto text = get_or<std::string>(json, "operator", ""); !text.empty())
         config.operators = read_address(text, "operator");
     if (json.contains("peer_listen")) config.peer_listen = get_endpoint<net::Udp>(json, "peer_listen");
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -12,6 +12,15 @@
 
 using Json = nlohmann::json;
 
+constexpr Millis kLeastPeriod = 10;
+constexpr Millis kMostPeriod = 60000;
+constexpr double kLeastSuspicion = 1;
+constexpr double kMostSuspicion = 100;
+constexpr unsigned kMostIndirect = 16;  // members asked to probe
+constexpr unsigned kMostRetransmit = 16;
+constexpr double kLeastLoadBound = 1;
+constexpr double kMostLoadBound = 1000;
+
 template <class Endpoint>
 Json written_if(const std::optional<Endpoint>& endpoint) {
     return endpoint ? Json(net::written(*endpoint)) : Json();
@@ -31,42 +40,97 @@
     return endpoint;
 }
 
-cluster::Settings read_cluster(TomlTable& table) {
-    cluster::Settings s;
-    const auto bind = address<net::Udp::endpoint>(table, "bind");
-    if (!bind) table.fail("bind", "is missing");
-    s.bind = *bind;
-    if (const auto told = address<net::Tcp::endpoint>(table, "advertise")) s.advertise = net::written(*told);
+// A path of the options file; where it is relative, it is so to the folder of that file.
+std::filesystem::path resolved(const std::filesystem::path& path, const std::filesystem::path& source) {
+    return path.is_absolute() ? path : source.parent_path() / path;
+}
+
+void read_platform(Options& options, TomlTable& table) {
+    if (const auto path = table.text("config")) options.platform_config = resolved(*path, table.source());
+    table.done();
+}
+
+void read_sidecar(Options& options, TomlTable& table) {
+    options.operators = address<net::Tcp::endpoint>(table, "operator");
+    table.number_into(options.clock_skew, "clock_skew_ms", -kMostSkew, kMostSkew);
+    table.done();
+}
+
+void read_log(Options& options, TomlTable& table) {
+    if (const auto name = table.text("level")) {
+        const auto level = net::log_level(*name);
+        if (!level) table.fail("level", "is not one of trace, debug, info, warn, error, critical, off");
+        options.log_level = *level;
+    }
+    table.done();
+}
+
+Config::Affinity read_affinity_rule(TomlTable& rule) {
+    constexpr std::string_view kHeader = "header:";
+    const auto class_name = rule.text("class");
+    const auto key = rule.text("key");
+    if (!class_name) rule.fail("class", "is missing");
+    const bool is_path = key && *key == "path";
+    const bool is_header = key && key->starts_with(kHeader) && key->size() > kHeader.size();
+    if (!is_path && !is_header) rule.fail("key", "expects \"path\" or \"header:NAME\"");
+    rule.done();
+    return {*class_name, is_path ? "" : key->substr(kHeader.size())};
+}
+
+void read_affinity(Options& options, TomlTable& table) {
+    options.affinity_load_bound = table.number("bound", kLeastLoadBound, kMostLoadBound);
+    for (TomlTable& rule : table.tables("rules")) options.affinity.push_back(read_affinity_rule(rule));
+    table.done();
+}
+
+cluster::Settings::Route read_route(TomlTable& peer) {
+    cluster::Settings::Route route;
+    route.udp = address<net::Udp::endpoint>(peer, "udp");
+    route.tcp = address<net::Tcp::endpoint>(peer, "tcp");
+    peer.done();
+    return route;
+}
+
+// The key of the fleet: "key" wins over "key_file".
+std::string read_key(TomlTable& table) {
+    std::string secret;
     if (const auto path = table.text("key_file")) {
-        const std::filesystem::path file = *path;
-        s.key =
-            read_file(file.is_absolute() ? file : table.source().parent_path() / file, "'cluster.key_file'");
-        while (!s.key.empty() && s.key.back() == '\n') s.key.pop_back();
+        secret = read_file(resolved(*path, table.source()), "'cluster.key_file'");
+        while (!secret.empty() && secret.back() == '\n') secret.pop_back();
     }
     const char* const key = table.has("key_file") ? "key_file" : "key";
-    if (const auto text = table.text("key")) s.key = *text;
-    if (s.key.size() < cluster::Codec::kShortestKey)
+    if (const auto text = table.text("key")) secret = *text;
+    if (secret.size() < cluster::Codec::kShortestKey)
         table.fail(key, "expects a shared key of " + std::to_string(cluster::Codec::kShortestKey) +
                             " bytes or more");
+    return secret;
+}
+
+cluster::Settings read_cluster(TomlTable& table) {
+    cluster::Settings settings;
+    const auto bind = address<net::Udp::endpoint>(table, "bind");
+    if (!bind) table.fail("bind", "is missing");
+    settings.bind = *bind;
+    const auto advertised = address<net::Tcp::endpoint>(table, "advertise");
+    if (advertised) settings.advertise = net::written(*advertised);
+    settings.key = read_key(table);
     for (const std::string& text : table.texts("seeds").value_or(std::vector<std::string>{})) {
         const auto seed = net::endpoint_of<net::Tcp::endpoint>(text);
         if (!seed) table.fail("seeds", "expects a list of ADDRESS:PORT");
-        s.seeds.push_back(*seed);
+        settings.seeds.push_back(*seed);
     }
-    cluster::Parameters& p = s.parameters;
-    table.number_into(p.period, "period_ms", 10.0, 60000.0);
-    table.number_into(p.suspicion_factor, "suspicion", 1.0, 100.0);
-    table.integer_into(p.indirect_probes, "indirect", 0, 16);
-    table.integer_into(p.retransmit_factor, "retransmit", 1, 16);
+    cluster::Parameters& parameters = settings.parameters;
+    table.number_into(parameters.period, "period_ms", kLeastPeriod, kMostPeriod);
+    table.number_into(parameters.suspicion_factor, "suspicion", kLeastSuspicion, kMostSuspicion);
+    table.integer_into(parameters.indirect_probes, "indirect", 0, kMostIndirect);
+    table.integer_into(parameters.retransmit_factor, "retransmit", 1, kMostRetransmit);
     for (TomlTable& peer : table.tables("peers")) {
         const auto name = peer.text("name");
         if (!name) peer.fail("name", "is missing");
-        s.routes[*name] = {address<net::Udp::endpoint>(peer, "udp"),
-                           address<net::Tcp::endpoint>(peer, "tcp")};
-        peer.done();
+        settings.routes[*name] = read_route(peer);
     }
     table.done();
-    return s;
+    return settings;
 }
 
 }  // namespace
@@ -75,39 +139,10 @@
     const toml::table document = parse_toml(text, source);
     TomlTable root(document, source);
     Options options;
-    if (auto platform = root.table("platform")) {
-        if (const auto path = platform->text("config")) {
-            const std::filesystem::path file = *path;
-            options.platform_config = file.is_absolute() ? file : source.parent_path() / file;
-        }
-        platform->done();
-    }
-    if (auto sidecar = root.table("sidecar")) {
-        options.operators = address<net::Tcp::endpoint>(*sidecar, "operator");
-        sidecar->number_into(options.clock_skew, "clock_skew_ms", -kMostSkew, kMostSkew);
-        sidecar->done();
-    }
-    if (auto log = root.table("log")) {
-        if (const auto name = log->text("level")) {
-            const auto level = net::log_level(*name);
-            if (!level) log->fail("level", "is not one of trace, debug, info, warn, error, critical, off");
-            options.log_level = *level;
-        }
-        log->done();
-    }
-    if (auto affinity = root.table("affinity")) {
-        options.affinity_load_bound = affinity->number("bound", 1.0, 1000.0);
-        for (TomlTable& rule : affinity->tables("rules")) {
-            const auto of = rule.text("class"), key = rule.text("key");
-            if (!of) rule.fail("class", "is missing");
-            constexpr std::string_view kHeader = "header:";
-            if (!key || (*key != "path" && (!key->starts_with(kHeader) || key->size() == kHeader.size())))
-                rule.fail("key", "expects \"path\" or \"header:NAME\"");
-            options.affinity.push_back({*of, *key == "path" ? "" : key->substr(kHeader.size())});
-            rule.done();
-        }
-        affinity->done();
-    }
+    if (auto platform = root.table("platform")) read_platform(options, *platform);
+    if (auto sidecar = root.table("sidecar")) read_sidecar(options, *sidecar);
+    if (auto log = root.table("log")) read_log(options, *log);
+    if (auto affinity = root.table("affinity")) read_affinity(options, *affinity);
     if (auto table = root.table("cluster")) options.cluster = read_cluster(*table);
     root.done();
     return options;
--- a/src/config/site.cpp
+++ b/src/config/site.cpp
@@ -80,52 +80,72 @@
 std::uint32_t Site::class_index(std::string_view name) const { return place_of(classes, name); }
 std::uint32_t Site::tenant_index(std::string_view name) const { return place_of(tenants, name); }
 
+namespace {
+
+// The numbers of the names that a field lists. None: the field is absent.
+template <class Number>
+std::optional<std::vector<std::uint32_t>> read_names(const Fields& start, const std::string& field,
+                                                     Number number_of_name) {
+    std::optional<std::vector<std::uint32_t>> numbers;
+    if (!start.has(field)) return numbers;
+    numbers.emplace();
+    for (const std::string& name : split(start.text(field))) numbers->push_back(number_of_name(name));
+    return numbers;
+}
+
+void read_class(Site& site, const Fields& start, const std::string& prefix) {
+    RequestClass read;
+    read.idempotency = start.named(prefix + "effect", effects);
+    if (start.has(prefix + "dedup-scope")) read.dedup_scope = start.named(prefix + "dedup-scope", scopes);
+    read.dedup_window = start.number_or(prefix + "dedup-window-ms", read.dedup_window);
+    read.latency_objective = start.number(prefix + "on-time-ms");
+    read.objective_per_effort = start.number_or(prefix + "aim-stretch", read.objective_per_effort);
+    read.priority_weight = start.number_or(prefix + "credit", read.priority_weight);
+    const auto zone = [&](const std::string& name) { return site.zone(name); };
+    const auto kind = [&](const std::string& name) { return site.kind(name); };
+    read.zones = read_names(start, prefix + "confined-to", zone);
+    read.kinds = read_names(start, prefix + "models-allowed", kind);
+    site.settings.classes.push_back(std::move(read));
+    site.classes.emplace_back(start.text(prefix + "name"));
+}
+
+void read_tenant(Site& site, const Fields& start, const std::string& prefix) {
+    site.settings.tenant_quotas.push_back(start.number(prefix + "share"));
+    site.tenants.emplace_back(start.text(prefix + "name"));
+}
+
+void read_limits_and_rules(Settings& settings, const Fields& start) {
+    settings.over_quota_weight = start.number_or("over-share-worth", settings.over_quota_weight);
+    if (start.has("membership-mode")) settings.must_subscribe = start.text("membership-mode") == "on_request";
+    settings.resubscribe_within = start.number_or("rules.ask-within-ms", settings.resubscribe_within);
+    settings.fleet_size = static_cast<std::uint32_t>(start.integer_or("siblings", settings.fleet_size));
+    settings.max_attempts =
+        static_cast<std::uint32_t>(start.integer_or("limits.max-attempts", settings.max_attempts));
+    settings.may_hedge = start.flag_or("limits.parallel-tries", settings.may_hedge);
+    if (start.flag_or("limits.retry-after", false))
+        settings.max_retry_after = start.number_or("limits.max-retry-after-ms", settings.max_retry_after);
+    settings.may_cancel = start.flag_or("limits.may-cancel", false);
+    settings.slow_start_min_capacity = start.number_or("rules.cold-from", settings.slow_start_min_capacity);
+    settings.overload_multiple = start.number_or("rules.fall-multiple", settings.overload_multiple);
+    settings.overload_window = start.number_or("rules.fall-ms", settings.overload_window);
+    settings.overloaded_may_have_run =
+        start.flag_or("rules.busy-is-no-proof", settings.overloaded_may_have_run);
+    settings.slow_start_window = start.number_or("rules.warm-within-ms", settings.slow_start_window);
+    settings.costs.cross_zone = start.number_or("fees.cross-zone", settings.costs.cross_zone);
+}
+
+}  // namespace
+
 Site read_site(const Fields& start) {
     Site site;
-    Settings& s = site.settings;
     if (start.has("azs")) site.zones = split(start.text("azs"));
-    if (start.has("my-zone")) s.my_zone = site.zone(start.text("my-zone"));
-    for (std::uint64_t i = 0, count = start.integer("classes.count"); i < count; ++i) {
-        const std::string prefix = "classes." + std::to_string(i) + ".";
-        RequestClass c;
-        c.idempotency = start.named(prefix + "effect", effects);
-        if (start.has(prefix + "dedup-scope")) c.dedup_scope = start.named(prefix + "dedup-scope", scopes);
-        c.dedup_window = start.number_or(prefix + "dedup-window-ms", c.dedup_window);
-        c.latency_objective = start.number(prefix + "on-time-ms");
-        c.objective_per_effort = start.number_or(prefix + "aim-stretch", c.objective_per_effort);
-        c.priority_weight = start.number_or(prefix + "credit", c.priority_weight);
-        const auto only = [&](const std::string& field, auto number) {
-            std::optional<std::vector<std::uint32_t>> numbers;
-            if (!start.has(field)) return numbers;
-            numbers.emplace();
-            for (const auto& name : split(start.text(field))) numbers->push_back((site.*number)(name));
-            return numbers;
-        };
-        c.zones = only(prefix + "confined-to", &Site::zone);
-        c.kinds = only(prefix + "models-allowed", &Site::kind);
-        s.classes.push_back(std::move(c));
-        site.classes.emplace_back(start.text(prefix + "name"));
-    }
-    for (std::uint64_t i = 0, count = start.integer_or("tenants.count", 0); i < count; ++i) {
-        const std::string prefix = "tenants." + std::to_string(i) + ".";
-        s.tenant_quotas.push_back(start.number(prefix + "share"));
-        site.tenants.emplace_back(start.text(prefix + "name"));
-    }
-    s.over_quota_weight = start.number_or("over-share-worth", s.over_quota_weight);
-    if (start.has("membership-mode")) s.must_subscribe = start.text("membership-mode") == "on_request";
-    s.resubscribe_within = start.number_or("rules.ask-within-ms", s.resubscribe_within);
-    s.fleet_size = static_cast<std::uint32_t>(start.integer_or("siblings", s.fleet_size));
-    s.max_attempts = static_cast<std::uint32_t>(start.integer_or("limits.max-attempts", s.max_attempts));
-    s.may_hedge = start.flag_or("limits.parallel-tries", s.may_hedge);
-    if (start.flag_or("limits.retry-after", false))
-        s.max_retry_after = start.number_or("limits.max-retry-after-ms", s.max_retry_after);
-    s.may_cancel = start.flag_or("limits.may-cancel", false);
-    s.slow_start_min_capacity = start.number_or("rules.cold-from", s.slow_start_min_capacity);
-    s.overload_multiple = start.number_or("rules.fall-multiple", s.overload_multiple);
-    s.overload_window = start.number_or("rules.fall-ms", s.overload_window);
-    s.overloaded_may_have_run = start.flag_or("rules.busy-is-no-proof", s.overloaded_may_have_run);
-    s.slow_start_window = start.number_or("rules.warm-within-ms", s.slow_start_window);
-    s.costs.cross_zone = start.number_or("fees.cross-zone", s.costs.cross_zone);
+    if (start.has("my-zone")) site.settings.my_zone = site.zone(start.text("my-zone"));
+    const std::uint64_t classes = start.integer("classes.count");
+    for (std::uint64_t i = 0; i < classes; ++i) read_class(site, start, "classes." + std::to_string(i) + ".");
+    const std::uint64_t tenants = start.integer_or("tenants.count", 0);
+    for (std::uint64_t i = 0; i < tenants; ++i)
+        read_tenant(site, start, "tenants." + std::to_string(i) + ".");
+    read_limits_and_rules(site.settings, start);
     return site;
 }
 
