--- a/src/config/site.hpp
+++ b/src/config/site.hpp
@@ -1,5 +1,6 @@
-// The settings of a deployment, read by their dotted paths: from the simulator's first message or from the
-// sidecar's configuration alike.
+/// @file
+/// The settings of a deployment, read by their dotted paths: from the simulator's first message or from the
+/// sidecar's configuration.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +15,21 @@
 
 namespace mothring {
 
-// What can't be read; what() names the place and the field.
+/// What can't be read; what() names the place and the field.
 struct FieldError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// name=value pairs with typed access, which throws FieldError.
+/// name=value pairs with typed access, which throws FieldError.
 class Fields {
 public:
     virtual ~Fields() = default;
+    /// None: the field is absent.
     virtual std::optional<std::string_view> find(std::string_view field) const = 0;
-    virtual std::string place() const = 0;  // where they stand, for errors
+    /// Where the pairs come from, for errors.
+    virtual std::string place() const = 0;
 
+    /// Throws FieldError.
     [[noreturn]] void fail(std::string_view field, std::string_view what) const;
 
     bool has(std::string_view field) const { return find(field).has_value(); }
@@ -36,6 +40,7 @@
     std::uint64_t integer_or(std::string_view field, std::uint64_t fallback) const;
     bool flag_or(std::string_view field, bool fallback) const;
 
+    /// The words that a field may have, and what they stand for.
     template <class T>
     using Names = std::vector<std::pair<std::string_view, T>>;
     template <class T>
@@ -47,7 +52,7 @@
     }
 };
 
-// What the settings say beyond the library's: the names behind its integers.
+/// The settings, and the names behind their integers.
 struct Site {
     Settings settings;
     std::vector<std::string> zones;
@@ -55,13 +60,15 @@
     std::vector<std::string> classes;
     std::vector<std::string> tenants;
 
-    // A name not met before gets the next number.
+    /// The number of a name; the next one where the name is new.
     ZoneId zone(std::string_view name);
     KindId kind(std::string_view name);
-    // The place of a name; out of range where it is not known.
+    /// The index of a name; out of range where it is not known.
     std::uint32_t class_index(std::string_view name) const;
     std::uint32_t tenant_index(std::string_view name) const;
 };
+/// Reads the settings.
+/// @throws FieldError
 Site read_site(const Fields& settings);
 
 }  // namespace mothring
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -22,7 +22,8 @@
 
 std::string range(double least, double most) {
     if (least == -TomlTable::kAnyNumber) return "";
-    if (most >= 1e15) return " of at least " + figure(least);
+    constexpr double kUnbounded = 1e15;
+    if (most >= kUnbounded) return " of at least " + figure(least);
     return " from " + figure(least) + " to " + figure(most);
 }
 
@@ -100,7 +101,8 @@
     const toml::node* const node = find(key);
     if (!node) return std::nullopt;
     const auto* const array = node->as_array();
-    if (!array || !std::all_of(array->begin(), array->end(), [](const auto& n) { return n.is_string(); }))
+    if (!array ||
+        !std::all_of(array->begin(), array->end(), [](const auto& item) { return item.is_string(); }))
         fail(key, "expects a list of strings");
     std::vector<std::string> values;
     for (const auto& item : *array) values.push_back(item.as_string()->get());
@@ -119,7 +121,8 @@
     const toml::node* const node = find(key);
     if (!node) return tables;
     const auto* const array = node->as_array();
-    if (!array || !std::all_of(array->begin(), array->end(), [](const auto& n) { return n.is_table(); }))
+    if (!array ||
+        !std::all_of(array->begin(), array->end(), [](const auto& item) { return item.is_table(); }))
         fail(key, "expects tables ([[" + dotted(key) + "]])");
     for (const auto& item : *array) tables.emplace_back(*item.as_table(), source_, dotted(key));
     return tables;
@@ -132,7 +135,10 @@
     const auto at = std::find(names.begin(), names.end(), *value);
     if (at != names.end()) return static_cast<std::size_t>(at - names.begin());
     std::string list;
-    for (const auto& name : names) (list += list.empty() ? "" : ", ") += name;
+    for (const auto& name : names) {
+        if (!list.empty()) list += ", ";
+        list += name;
+    }
     fail(key, "is not one of " + list);
 }
 
