--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -12,7 +12,8 @@
 
 inline Millis millis(auto length) { return std::chrono::duration<Millis, std::milli>(length).count(); }
 inline std::chrono::microseconds span(Millis length) {
-    return std::chrono::microseconds(static_cast<std::int64_t>(length * 1000));
+    constexpr double kMicrosecondsPerMillisecond = 1000;
+    return std::chrono::microseconds(static_cast<std::int64_t>(length * kMicrosecondsPerMillisecond));
 }
 
 // Reads a wall clock: Unix time in milliseconds, which may be stepped at any moment, forward or back.
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -50,7 +50,7 @@
         since_ = Steady::now();
         net::log(spdlog::level::debug, "discovery.call",
                  {{"target", target}, {"connected", socket_.is_open()}});
-        request_ = {http::verb::get, target, 11};
+        request_ = {http::verb::get, target, net::kHttpVersion};
         request_.set(http::field::host,
                      address_.address().to_string() + ":" + std::to_string(address_.port()));
         timer_.expires_after(net::span(patience));
@@ -93,9 +93,9 @@
             socket_, buffer_, *parser_, kListLimit, [self = shared_from_this()](error_code failed) {
                 if (failed) return self->end("broken off: " + failed.message());
                 const auto& answer = self->parser_->get();
-                const bool ok = answer.result() == http::status::ok;
-                self->end(ok ? "" : "status " + std::to_string(answer.result_int()), ListFailure::rejected,
-                          retry_after(answer[http::field::retry_after]));
+                const bool succeeded = answer.result() == http::status::ok;
+                self->end(succeeded ? "" : "status " + std::to_string(answer.result_int()),
+                          ListFailure::rejected, retry_after(answer[http::field::retry_after]));
             });
     }
     // In seconds, whole or decimal; what can't be read is not there.
@@ -104,7 +104,8 @@
         if (!net::parse_number(std::string_view(seconds.data(), seconds.size()), value) ||
             !std::isfinite(value) || value < 0)
             return std::nullopt;
-        return value * 1000;
+        constexpr Millis kSecond = 1000;
+        return value * kSecond;
     }
     void drop() {
         error_code ignored;
@@ -230,7 +231,8 @@
     if (late && !list) {  // the other goes on
         if (body) net::log(spdlog::level::warn, "discovery.ignored", {{"why", why}});
         return drop(late_);
-    } else if (late) {
+    }
+    if (late) {
         drop(watch_);
         timer_.cancel();
         watch_ = std::move(late_);
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -26,8 +26,8 @@
     receive();
 }
 
-void Peers::tell(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes) {
-    const net::Udp::endpoint* const address = receiver(to);
+void Peers::tell(std::optional<std::uint32_t> recipient, const std::vector<std::uint8_t>& bytes) {
+    const net::Udp::endpoint* const address = receiver(recipient);
     if (bytes.size() > kLongest || !address)
         return net::log(spdlog::level::warn, "peer.not_sent", {{"bytes", bytes.size()}});
     error_code ignored;  // any datagram may be lost
@@ -35,9 +35,9 @@
 }
 
 /// Null: there is none.
-const net::Udp::endpoint* Peers::receiver(std::optional<std::uint32_t> to) const {
-    if (!to) return all_ ? &*all_ : nullptr;
-    return *to < peers_.size() ? &peers_[*to] : nullptr;
+const net::Udp::endpoint* Peers::receiver(std::optional<std::uint32_t> recipient) const {
+    if (!recipient) return all_ ? &*all_ : nullptr;
+    return *recipient < peers_.size() ? &peers_[*recipient] : nullptr;
 }
 
 void Peers::receive() {
--- a/src/node/peers.hpp
+++ b/src/node/peers.hpp
@@ -32,12 +32,12 @@
           std::vector<net::Udp::endpoint> peers, std::optional<net::Udp::endpoint> all, Received received);
 
     /// Sends a message. One that is too long, or has no receiver, is logged and not sent.
-    /// @param to  index of the receiver among the peers; absent: all of them.
-    void tell(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes);
+    /// @param recipient  index of the receiver among the peers; absent: all of them.
+    void tell(std::optional<std::uint32_t> recipient, const std::vector<std::uint8_t>& bytes);
     net::Udp::endpoint address() const { return socket_.local_endpoint(); }
 
 private:
-    const net::Udp::endpoint* receiver(std::optional<std::uint32_t> to) const;
+    const net::Udp::endpoint* receiver(std::optional<std::uint32_t> recipient) const;
     void receive();
     void on_datagram(std::size_t size);
     void dispatch(std::size_t size);
