--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -154,7 +154,7 @@
     self.name = std::move(name);
     self.life = new_life(clock_.now());
     self.incarnation = static_cast<std::uint64_t>(clock_.now());
-    self.udp = settings_.advertise.value_or(net::written(sockets_.udp.local_endpoint()));
+    self.udp = settings_.advertise.value_or(net::format_endpoint(sockets_.udp.local_endpoint()));
     self.tcp = self.udp;
     self.version = std::move(version);
     return self;
@@ -197,7 +197,7 @@
 // ---- Messages
 
 void Agent::Impl::receive_datagram(std::span<const std::uint8_t> bytes, const Udp::endpoint& sender) {
-    const std::string from = net::written(sender);
+    const std::string from = net::format_endpoint(sender);
     const auto payload = protocol_->verifier.open(bytes, Codec::kLongestDatagram, from, sender);
     if (!payload) return;
     const auto* const message = std::get_if<Message>(&*payload);
@@ -251,7 +251,7 @@
         carry_out(effects);
     }
     send_rate_.update(now, traffic_.bytes_sent);
-    timer_.expires_at(clock_.when(membership.next()));
+    timer_.expires_at(clock_.to_time_point(membership.next()));
     timer_.async_wait([self = shared_from_this()](error_code cancelled) {
         if (!cancelled && !self->closed_) self->run_due();
     });
--- a/src/cluster/datagram_receiver.cpp
+++ b/src/cluster/datagram_receiver.cpp
@@ -36,7 +36,7 @@
 
 void DatagramReceiver::receive_later(Self self) {
     asio::steady_timer& pause = self->pause_;
-    pause.expires_after(net::span(kReceivePause));
+    pause.expires_after(net::to_duration(kReceivePause));
     pause.async_wait([self = std::move(self)](error_code cancelled) {
         if (!cancelled && !self->closed_) receive(self);
     });
@@ -48,9 +48,9 @@
         error_code failed;
         const std::size_t size = socket_.receive_from(asio::buffer(buffer_), sender, 0, failed);
         if (failed == asio::error::would_block || failed == asio::error::try_again) return true;
-        if (failed && pace_.pauses_after(failed)) return false;
+        if (failed && pace_.must_pause_after(failed)) return false;
         if (failed) continue;
-        pace_.succeeded();
+        pace_.on_success();
         hooks_.received({buffer_.data(), size}, sender);
     }
     return true;
--- a/src/cluster/message_verifier.cpp
+++ b/src/cluster/message_verifier.cpp
@@ -50,7 +50,7 @@
     if (!address) return;
     using Receiver = FreshnessChallenges::Receiver;
     const Receiver receiver = address == known ? Receiver::member : Receiver::stranger;
-    const auto sequence = challenges_.issue(in_.clock.now(), name, net::written(*address), receiver);
+    const auto sequence = challenges_.issue(in_.clock.now(), name, net::format_endpoint(*address), receiver);
     if (sequence) hooks_.send({Message::Kind::ping, *sequence, self, name, {}}, *address);
 }
 
--- a/src/cluster/peer_addresses.cpp
+++ b/src/cluster/peer_addresses.cpp
@@ -4,10 +4,10 @@
 
 namespace mothring::cluster {
 
-using net::endpoint_of;
+using net::parse_endpoint;
 
 std::optional<Udp::endpoint> PeerAddresses::udp(const Effects::Send& send) const {
-    if (!send.address.empty()) return endpoint_of<Udp::endpoint>(send.address);
+    if (!send.address.empty()) return parse_endpoint<Udp::endpoint>(send.address);
     return udp(send.to);
 }
 
@@ -15,14 +15,14 @@
     const auto route = settings_.routes.find(name);
     if (route != settings_.routes.end() && route->second.udp) return route->second.udp;
     const auto member = membership_.member(name);
-    return member ? endpoint_of<Udp::endpoint>(member->udp) : std::nullopt;
+    return member ? parse_endpoint<Udp::endpoint>(member->udp) : std::nullopt;
 }
 
 std::optional<Tcp::endpoint> PeerAddresses::tcp(const std::string& name) const {
     const auto route = settings_.routes.find(name);
     if (route != settings_.routes.end() && route->second.tcp) return route->second.tcp;
     const auto member = membership_.member(name);
-    return member ? endpoint_of<Tcp::endpoint>(member->tcp) : std::nullopt;
+    return member ? parse_endpoint<Tcp::endpoint>(member->tcp) : std::nullopt;
 }
 
 }  // namespace mothring::cluster
--- a/src/cluster/state_exchange.cpp
+++ b/src/cluster/state_exchange.cpp
@@ -85,7 +85,7 @@
             periods = self->in_.membership.sync_periods();
             unanswered.push_back(seeds[self->in_.random() % seeds.size()]);
         }
-        wait.expires_after(net::span(periods * self->in_.settings.parameters.period));
+        wait.expires_after(net::to_duration(periods * self->in_.settings.parameters.period));
         co_await wait.async_wait(into(ignored));
     }
 }
@@ -105,7 +105,7 @@
 // Returns whether the other has answered.
 asio::awaitable<bool> StateExchange::call(Self self, Tcp::endpoint address) {
     auto socket = std::make_shared<Tcp::socket>(self->in_.io);
-    asio::steady_timer limit(self->in_.io, net::span(self->time_limit()));
+    asio::steady_timer limit(self->in_.io, net::to_duration(self->time_limit()));
     close_on_expiry(limit, socket);
     error_code failed;
     co_await socket->async_connect(address, into(failed));
@@ -132,13 +132,13 @@
         error_code failed;
         auto socket = std::make_shared<Tcp::socket>(co_await self->in_.acceptor.async_accept(into(failed)));
         if (failed == asio::error::operation_aborted || self->closed_) co_return;
-        if (failed && !self->accept_pace_.pauses_after(failed)) continue;
+        if (failed && !self->accept_pace_.must_pause_after(failed)) continue;
         if (failed) {
-            pause.expires_after(net::span(self->in_.settings.parameters.period));
+            pause.expires_after(net::to_duration(self->in_.settings.parameters.period));
             co_await pause.async_wait(into(failed));
             continue;
         }
-        self->accept_pace_.succeeded();
+        self->accept_pace_.on_success();
         if (self->answering_ >= kMostAnswered) continue;
         asio::co_spawn(self->in_.io, answer(self, std::move(socket)), asio::detached);
     }
@@ -146,7 +146,7 @@
 
 asio::awaitable<void> StateExchange::answer(Self self, std::shared_ptr<Tcp::socket> socket) {
     ++self->answering_;
-    asio::steady_timer limit(self->in_.io, net::span(self->time_limit()));
+    asio::steady_timer limit(self->in_.io, net::to_duration(self->time_limit()));
     close_on_expiry(limit, socket);
     const auto request = co_await self->read(*socket);
     if (request && !self->in_.membership.superseded()) {
@@ -192,7 +192,7 @@
 std::vector<Tcp::endpoint> StateExchange::other_seeds() const {
     std::vector<Tcp::endpoint> seeds;
     for (const Tcp::endpoint& seed : in_.settings.seeds)
-        if (seed != in_.acceptor.local_endpoint() && net::written(seed) != in_.membership.self().tcp)
+        if (seed != in_.acceptor.local_endpoint() && net::format_endpoint(seed) != in_.membership.self().tcp)
             seeds.push_back(seed);
     return seeds;
 }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -51,7 +51,7 @@
 
 template <class Protocol>
 typename Protocol::endpoint endpoint(const std::string& text, const std::string& key) {
-    const auto read = net::endpoint_of<typename Protocol::endpoint>(text);
+    const auto read = net::parse_endpoint<typename Protocol::endpoint>(text);
     if (!read) fail(key, "is not ADDRESS:PORT");
     return *read;
 }
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -23,7 +23,7 @@
 
 template <class Endpoint>
 Json written_if(const std::optional<Endpoint>& endpoint) {
-    return endpoint ? Json(net::written(*endpoint)) : Json();
+    return endpoint ? Json(net::format_endpoint(*endpoint)) : Json();
 }
 
 std::string level_name(net::LogLevel level) {
@@ -35,7 +35,7 @@
 std::optional<Endpoint> address(TomlTable& table, const std::string& key) {
     const auto text = table.text(key);
     if (!text) return std::nullopt;
-    auto endpoint = net::endpoint_of<Endpoint>(*text);
+    auto endpoint = net::parse_endpoint<Endpoint>(*text);
     if (!endpoint) table.fail(key, "is not ADDRESS:PORT");
     return endpoint;
 }
@@ -58,7 +58,7 @@
 
 void read_log(Options& options, TomlTable& table) {
     if (const auto name = table.text("level")) {
-        const auto level = net::log_level(*name);
+        const auto level = net::parse_log_level(*name);
         if (!level) table.fail("level", "is not one of trace, debug, info, warn, error, critical, off");
         options.log_level = *level;
     }
@@ -112,10 +112,10 @@
     if (!bind) table.fail("bind", "is missing");
     settings.bind = *bind;
     const auto advertised = address<net::Tcp::endpoint>(table, "advertise");
-    if (advertised) settings.advertise = net::written(*advertised);
+    if (advertised) settings.advertise = net::format_endpoint(*advertised);
     settings.key = read_key(table);
     for (const std::string& text : table.texts("seeds").value_or(std::vector<std::string>{})) {
-        const auto seed = net::endpoint_of<net::Tcp::endpoint>(text);
+        const auto seed = net::parse_endpoint<net::Tcp::endpoint>(text);
         if (!seed) table.fail("seeds", "expects a list of ADDRESS:PORT");
         settings.seeds.push_back(*seed);
     }
@@ -183,10 +183,10 @@
 
 std::string describe(const Config& config, const Options& options) {
     Json peers = Json::array();
-    for (const auto& peer : config.peers) peers.push_back(net::written(peer));
+    for (const auto& peer : config.peers) peers.push_back(net::format_endpoint(peer));
     const Json out = {{"name", config.name},
-                      {"listen", net::written(config.listen)},
-                      {"discovery", net::written(config.discovery)},
+                      {"listen", net::format_endpoint(config.listen)},
+                      {"discovery", net::format_endpoint(config.discovery)},
                       {"seed", config.seed},
                       {"limits", {{"sockets", config.sockets}, {"memory_mb", config.memory_mb}}},
                       {"operator", written_if(config.operators)},
@@ -201,7 +201,7 @@
                       {"may_probe", config.may_probe},
                       {"may_tell", config.may_tell},
                       {"clock_skew_ms", config.clock_skew},
-                      {"cluster", config.cluster ? Json(net::written(config.cluster->bind)) : Json()},
+                      {"cluster", config.cluster ? Json(net::format_endpoint(config.cluster->bind)) : Json()},
                       {"affinity_rules", config.affinity.size()},
                       {"log_level", level_name(options.log_level)}};
     return out.dump(2);
--- a/src/lab/asio.hpp
+++ b/src/lab/asio.hpp
@@ -24,8 +24,8 @@
 
 namespace asio = boost::asio;
 using boost::system::error_code;
-using net::span;
 using net::Tcp;
+using net::to_duration;
 using net::Udp;
 using Task = asio::awaitable<void>;
 
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -96,7 +96,7 @@
     auto next = steady_clock::now();
     while (running_) {
         // Open loop: the next arrival does not wait for this one's answer, nor for a late timer.
-        next += span(1000 * std::exponential_distribution(std::max(rate_, 1e-6))(random_));
+        next += to_duration(1000 * std::exponential_distribution(std::max(rate_, 1e-6))(random_));
         timer.expires_at(next);
         co_await timer.async_wait(into(ignored));
         if (running_) worker_.spawn(request(side, draw(), "", nullptr));
@@ -168,7 +168,7 @@
             }
             socket->set_option(Tcp::no_delay(true), failed);
         }
-        asio::steady_timer limit(worker_.io(), began + span(kind.timeout + kGrace));
+        asio::steady_timer limit(worker_.io(), began + to_duration(kind.timeout + kGrace));
         const auto late = std::make_shared<bool>(false);
         limit.async_wait([late, at = socket.get()](error_code cancelled) {
             if (cancelled) return;
--- a/src/lab/discovery.cpp
+++ b/src/lab/discovery.cpp
@@ -115,7 +115,7 @@
     for (const auto& [id, entry] : entries_) {
         if (full ? entry.state == "Gone" : changed_at_.at(id) <= from) continue;
         servers.push_back({{"id", id},
-                           {"addr", net::written(address_of_(viewer, id))},
+                           {"addr", net::format_endpoint(address_of_(viewer, id))},
                            {"zone", entry.zone},
                            {"kind", entry.kind},
                            {"cell", entry.cell},
@@ -157,9 +157,9 @@
         } else {
             const auto now = steady_clock::now();
             free_at_ = std::max(free_at_, now);
-            const bool crowded = free_at_ - now > span(patience_);
+            const bool crowded = free_at_ - now > to_duration(patience_);
             if (!crowded) {
-                free_at_ += span(service_);
+                free_at_ += to_duration(service_);
                 timer.expires_at(free_at_);
                 co_await timer.async_wait(into(failed));
             }
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -90,7 +90,7 @@
     if (listening.contains("operator"))
         own.operators = config::read_address(listening.value("operator", ""), "operator");
     for (const char* const key : {"peers", "cluster"})
-        if (const auto peers = net::endpoint_of<Udp::endpoint>(listening.value(key, ""))) {
+        if (const auto peers = net::parse_endpoint<Udp::endpoint>(listening.value(key, ""))) {
             own.peers = *peers;
             platform_.relay().set_peer_address(sidecar.name, own.peers);
         }
@@ -115,11 +115,11 @@
 }
 
 Task Fleet::restart_later(std::size_t i, Millis delay) {
-    asio::steady_timer timer(io_, span(delay));
+    asio::steady_timer timer(io_, to_duration(delay));
     error_code ignored;
     co_await timer.async_wait(into(ignored));
     for (Millis waited = 0; sidecars_[i].child->running() && waited < kStartLimit; waited += kPollInterval) {
-        timer.expires_after(span(kPollInterval));  // it drains
+        timer.expires_after(to_duration(kPollInterval));  // it drains
         co_await timer.async_wait(into(ignored));
     }
     restart(i);
--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -79,13 +79,13 @@
 }
 
 bool Lab::until(const std::function<bool()>& reached, Millis limit) {
-    const auto end = steady_clock::now() + span(limit);
+    const auto end = steady_clock::now() + to_duration(limit);
     for (;;) {
         if (reached()) return true;
         if (steady_clock::now() >= end) return false;
         io_.restart();
         // An event of a child ends the wait early; what the other threads do is looked for after a step.
-        io_.run_one_until(std::min(end, steady_clock::now() + span(kPollInterval)));
+        io_.run_one_until(std::min(end, steady_clock::now() + to_duration(kPollInterval)));
     }
 }
 
--- a/src/lab/metrics_client.cpp
+++ b/src/lab/metrics_client.cpp
@@ -31,7 +31,7 @@
     asio::io_context io;
     boost::beast::tcp_stream stream(io);
     Json metrics;
-    stream.expires_after(span(kLimit));
+    stream.expires_after(to_duration(kLimit));
     asio::co_spawn(io, exchange(address, stream, metrics), asio::detached);
     io.run();
     return metrics;
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -196,7 +196,7 @@
         Millis delay = delay_of(direction.now);
         if (direction.now.drop > 0 && even(random_) < direction.now.drop) delay += kRetransmission;
         if (delay > 0) {
-            timer.expires_after(span(delay));
+            timer.expires_after(to_duration(delay));
             co_await timer.async_wait(into(ignored));
         }
         // An end, too, is only seen once something passes.
@@ -265,7 +265,7 @@
 Task Relay::deliver(UdpEnd& from, std::vector<std::uint8_t> bytes, Millis delay) {
     error_code ignored;
     if (delay > 0) {
-        asio::steady_timer timer(worker_.io(), span(delay));
+        asio::steady_timer timer(worker_.io(), to_duration(delay));
         co_await timer.async_wait(into(ignored));
     }
     const auto at = peer_addresses_.find(from.other);
--- a/src/lab/scan_server.cpp
+++ b/src/lab/scan_server.cpp
@@ -128,7 +128,7 @@
     for (;;) {
         connection->request = {};
         // Closed no later than when it has stood idle for the time in the settings.
-        connection->idle.expires_after(span(behaviour_.idle_close));
+        connection->idle.expires_after(to_duration(behaviour_.idle_close));
         connection->idle.async_wait([weak = std::weak_ptr(connection)](error_code cancelled) {
             if (const auto idle = weak.lock(); idle && !cancelled) idle->socket.close(cancelled);
         });
@@ -189,7 +189,7 @@
     }
     counts_.most_at_work = std::max(counts_.most_at_work, ++at_work_);
     asio::steady_timer work(worker_.io(),
-                            span(behaviour_.latency.sample(random_) * behaviour_.slow / capacity()));
+                            to_duration(behaviour_.latency.sample(random_) * behaviour_.slow / capacity()));
     co_await work.async_wait(into(failed));
     if (behaviour_.silent) {  // whoever waits gives up, or the machine is reset
         ++counts_.silent;
--- a/src/lab/sidecar_config.cpp
+++ b/src/lab/sidecar_config.cpp
@@ -85,18 +85,18 @@
                              const Json& known) {
     const std::string name = scenario_.sidecar_name(i);
     Json config{{"name", name},
-                {"listen", net::written(addresses.listen)},
-                {"discovery", net::written(addresses.discovery)},
+                {"listen", net::format_endpoint(addresses.listen)},
+                {"discovery", net::format_endpoint(addresses.discovery)},
                 {"seed", hex_seed(scenario_.seed * 7919 + i * 31 + starts)},
                 {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
-                {"operator", net::written(addresses.operators)},
+                {"operator", net::format_endpoint(addresses.operators)},
                 {"known", known},
                 {"settings", settings(i)}};
     if (!scenario_.may_tell || scenario_.cluster_period) return config;
     Json peers = Json::array();
     for (std::size_t n = 0; n < scenario_.sidecars; ++n)
-        if (n != i) peers.push_back(net::written(relay_.udp_link(name, scenario_.sidecar_name(n))));
-    config["peer_listen"] = net::written(addresses.peers);
+        if (n != i) peers.push_back(net::format_endpoint(relay_.udp_link(name, scenario_.sidecar_name(n))));
+    config["peer_listen"] = net::format_endpoint(addresses.peers);
     config["peers"] = std::move(peers);
     return config;
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -85,7 +85,7 @@
 void serve(const std::optional<std::filesystem::path>& options_path) {
     const config::Options options = options_at(options_path);
     config::Config config = config::effective_config(options);
-    net::log_start(config.name, options.log_level);
+    net::configure_log(config.name, options.log_level);
     boost::asio::io_context io(1);
     // Before anything listens: from then on a signal may come, and its default action would end the process.
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
@@ -111,7 +111,8 @@
             serve(options_path);
             return 0;
         } catch (const boost::system::system_error& error) {
-            if (!net::is_shortage(error.code()) || attempt == kMaxStartAttempts) return not_started(error);
+            if (!net::is_resource_shortage(error.code()) || attempt == kMaxStartAttempts)
+                return not_started(error);
             net::log(net::LogLevel::warn, "start.put_off", {{"error", error.what()}});
             std::this_thread::sleep_for(kStartRetryDelay);
         } catch (const std::exception& error) {
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -17,13 +17,13 @@
 using Udp = boost::asio::ip::udp;
 
 template <class Endpoint>
-std::string written(const Endpoint& endpoint) {
+std::string format_endpoint(const Endpoint& endpoint) {
     return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
 // nullopt: the text is no ADDRESS:PORT.
 template <class Endpoint>
-std::optional<Endpoint> endpoint_of(const std::string& text) {
+std::optional<Endpoint> parse_endpoint(const std::string& text) {
     const auto colon = text.rfind(':');
     boost::system::error_code error;
     const auto address = boost::asio::ip::make_address(text.substr(0, colon), error);
--- a/src/net/body_buffer.hpp
+++ b/src/net/body_buffer.hpp
@@ -27,9 +27,9 @@
 class BodyBuffer {
 public:
     /// The largest capacity, and so the longest body that is kept for a retry.
-    static constexpr std::size_t kMost = 64 * 1024;
+    static constexpr std::size_t kMaxCapacity = 64 * 1024;
     /// The capacity where the budget is used up.
-    static constexpr std::size_t kLeast = 4 * 1024;
+    static constexpr std::size_t kMinCapacity = 4 * 1024;
 
     /// @param length  of the complete body; absent: not known.
     BodyBuffer(std::shared_ptr<BufferBudget> budget, std::optional<std::uint64_t> length)
@@ -44,56 +44,56 @@
     // ---- The writer's side ----
 
     /// Called when there is room again.
-    std::function<void()> on_room;
+    std::function<void()> on_writable;
     /// How many bytes can be written now; allocates the memory of an empty buffer.
-    std::size_t room() {
+    std::size_t free_space() {
         if (size_ == 0) grow();
         return capacity_ - size_;
     }
-    bool full() { return room() == 0; }
+    bool is_full() { return free_space() == 0; }
     /// Where to write; room() bytes.
-    char* space() { return bytes_.get() + size_; }
+    char* write_pointer() { return bytes_.get() + size_; }
     /// So many bytes have been written to space().
-    void added(std::size_t count) {
+    void commit(std::size_t count) {
         size_ += count;
         total_ += count;
-        if (on_more) on_more();
+        if (on_readable) on_readable();
     }
     /// The body is complete.
-    void finish() {
+    void mark_complete() {
         state_ = State::complete;
-        if (on_more) on_more();
+        if (on_readable) on_readable();
     }
     /// The rest of the body won't come.
-    void fail() {
+    void mark_truncated() {
         state_ = State::broken;
-        if (on_more) on_more();
+        if (on_readable) on_readable();
     }
 
     // ---- The reader's side ----
 
     /// Called when there are bytes, the body is complete, or its rest won't come.
-    std::function<void()> on_more;
+    std::function<void()> on_readable;
     /// What has not been taken yet; valid until take().
     std::string_view unread() const { return {bytes_.get() + read_, size_ - read_}; }
     /// So many bytes of unread() have been read.
-    void take(std::size_t count) {
+    void consume(std::size_t count) {
         read_ += count;
         if (kept_ && (state_ == State::complete || size_ < capacity_)) return;
         if (read_ > 0) kept_ = false;
         std::memmove(bytes_.get(), bytes_.get() + read_, size_ - read_);
         size_ -= std::exchange(read_, 0);
-        if (state_ == State::incomplete && on_room) on_room();
+        if (state_ == State::incomplete && on_writable) on_writable();
     }
     /// Whether all of the body has been written to the buffer.
-    bool whole() const { return state_ == State::complete; }
+    bool is_complete() const { return state_ == State::complete; }
     /// Whether the rest of the body won't come.
-    bool broken() const { return state_ == State::broken; }
+    bool is_truncated() const { return state_ == State::broken; }
     /// How many bytes have been written so far.
-    std::uint64_t total() const { return total_; }
+    std::uint64_t bytes_written() const { return total_; }
 
     /// Whether all that has been written is still here, so that it can be read from the start again.
-    bool kept() const { return kept_; }
+    bool is_retained() const { return kept_; }
     /// Starts reading again from the start.
     void rewind() { read_ = 0; }
 
@@ -101,9 +101,10 @@
     enum class State { incomplete, complete, broken };
 
     void grow() {
-        const auto most = static_cast<std::size_t>(std::min<std::uint64_t>(length.value_or(kMost), kMost));
+        const auto most =
+            static_cast<std::size_t>(std::min<std::uint64_t>(length.value_or(kMaxCapacity), kMaxCapacity));
         const bool is_within_budget = budget_->used + most <= budget_->limit + capacity_;
-        const std::size_t wanted = is_within_budget ? most : std::min(most, kLeast);
+        const std::size_t wanted = is_within_budget ? most : std::min(most, kMinCapacity);
         if (wanted > capacity_) resize(wanted);
     }
     void resize(std::size_t capacity) {
--- a/src/net/http_message.hpp
+++ b/src/net/http_message.hpp
@@ -13,14 +13,14 @@
 constexpr unsigned kHttpVersion = 11;
 
 /// The longest body that is buffered completely, in bytes.
-constexpr std::size_t kBodyLimit = 64 * 1024;
+constexpr std::size_t kMaxBufferedBodyBytes = 64 * 1024;
 /// The longest body that is forwarded, in bytes.
-constexpr std::uint64_t kLargestBody = 32 * 1024 * 1024;
+constexpr std::uint64_t kMaxForwardedBodyBytes = 32 * 1024 * 1024;
 /// The longest head of a message, in bytes.
-constexpr std::uint32_t kHeaderLimit = 16 * 1024;
+constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
 
 /// Whether reading ended on bytes that are no message within the limits, and not with the connection.
-inline bool malformed(boost::system::error_code error) {
+inline bool is_malformed(boost::system::error_code error) {
     using Http = boost::beast::http::error;
     return error.category() == make_error_code(Http::end_of_stream).category() &&
            error != Http::end_of_stream && error != Http::partial_message;
@@ -33,7 +33,7 @@
 void async_read_bounded(Socket& socket, Buffer& buffer, Parser& parser, std::size_t body_limit,
                         Handler handler) {
     namespace http = boost::beast::http;
-    parser.header_limit(kHeaderLimit);
+    parser.header_limit(kMaxHeaderBytes);
     parser.body_limit(body_limit);
     http::async_read_header(
         socket, buffer, parser,
@@ -71,7 +71,7 @@
 
 /// Copies the header fields that belong to the message itself.
 template <class Target, class Source>
-void copy_end_to_end(Target& target, const Source& source) {
+void copy_end_to_end_fields(Target& target, const Source& source) {
     for (const auto& header : source) {
         if (!is_hop_by_hop(header.name())) target.insert(header.name(), header.name_string(), header.value());
     }
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -63,7 +63,7 @@
         if (way_ == Way::socket)
             return ::send(STDERR_FILENO, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
         if (way_ == Way::file) return ::write(STDERR_FILENO, bytes.data(), bytes.size());
-        if ((events_now(STDERR_FILENO, POLLOUT) & POLLOUT) == 0) return -1;
+        if ((poll_events(STDERR_FILENO, POLLOUT) & POLLOUT) == 0) return -1;
         return ::write(STDERR_FILENO, bytes.data(), std::min<std::size_t>(bytes.size(), PIPE_BUF));
     }
 
@@ -141,16 +141,16 @@
 
 }  // namespace
 
-void log_start(std::string sidecar, LogLevel level) {
+void configure_log(std::string sidecar, LogLevel level) {
     Log& log = the_log();
     log.sidecar = std::move(sidecar);
     log.logger->set_level(level);
 }
 
-bool logs(LogLevel level) { return the_log().logger->should_log(level); }
+bool is_logged(LogLevel level) { return the_log().logger->should_log(level); }
 
 void log(LogLevel level, std::string_view event, LogFields fields) {
-    if (!logs(level)) return;
+    if (!is_logged(level)) return;
     Log& log = the_log();
     try {
         tell_dropped(log, level);
@@ -159,7 +159,7 @@
     }
 }
 
-void LogLimit::log(LogLevel level, std::string_view event, LogFields fields) {
+void RateLimitedLog::log(LogLevel level, std::string_view event, LogFields fields) {
     const auto now = std::chrono::steady_clock::now();
     if (any_ && now - last_ < every_) {
         ++skipped_;
@@ -171,7 +171,7 @@
     net::log(level, event, std::move(fields));
 }
 
-std::optional<LogLevel> log_level(std::string_view name) {
+std::optional<LogLevel> parse_log_level(std::string_view name) {
     if (name == "warn") return spdlog::level::warn;
     const LogLevel level = spdlog::level::from_str(std::string(name));
     if (level == spdlog::level::off && name != "off") return std::nullopt;
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -22,20 +22,20 @@
 
 // Sets the name every line carries and the least level written. Safe to call again (a reload); before
 // the first call lines carry no name and the level is info.
-void log_start(std::string sidecar, LogLevel level);
+void configure_log(std::string sidecar, LogLevel level);
 
 // Writes one line if `level` is at or above the level set. `fields` must be a JSON object (anything
 // else goes under "value"). Never throws: a line that can't be written is lost, not the caller's work.
 void log(LogLevel level, std::string_view event, LogFields fields = LogFields::object());
 
 // Whether lines of that level are written: asked first where the fields alone cost something.
-bool logs(LogLevel level);
+bool is_logged(LogLevel level);
 
 // A log for a hot path: at most one line each `every`; the lines passed over in between are counted in
 // the next line's field "skipped". Single-threaded, as the sidecar's one io_context is.
-class LogLimit {
+class RateLimitedLog {
 public:
-    explicit LogLimit(std::chrono::milliseconds every) : every_(every) {}
+    explicit RateLimitedLog(std::chrono::milliseconds every) : every_(every) {}
     void log(LogLevel level, std::string_view event, LogFields fields = LogFields::object());
 
 private:
@@ -46,6 +46,6 @@
 };
 
 // "trace", "debug", "info", "warn" or "warning", "error", "critical", "off"; nullopt for any other.
-std::optional<LogLevel> log_level(std::string_view name);
+std::optional<LogLevel> parse_log_level(std::string_view name);
 
 }  // namespace mothring::net
--- a/src/net/message_writer.hpp
+++ b/src/net/message_writer.hpp
@@ -21,7 +21,7 @@
 
 /// A step that writes a sequence of buffers, whose memory has to stay valid until all is written.
 template <class Buffers>
-WriteStep write_step(const Buffers& buffers) {
+WriteStep make_write_step(const Buffers& buffers) {
     return [rest = boost::beast::buffers_suffix<Buffers>(buffers)](
                Tcp::socket& socket, boost::system::error_code& failed) mutable {
         rest.consume(socket.write_some(rest, failed));
@@ -30,27 +30,27 @@
 }
 
 /// Which part of a message is written.
-enum class Part {
-    whole,  ///< Header and body.
-    header  ///< The header only.
+enum class MessagePart {
+    header_and_body,  ///< Header and body.
+    header            ///< The header only.
 };
 
 /// A step that writes that part of a message, which has to stay valid until all is written.
 template <bool IsRequest, class Body, class Fields>
-WriteStep write_step(boost::beast::http::message<IsRequest, Body, Fields>& message, Part part) {
+WriteStep make_write_step(boost::beast::http::message<IsRequest, Body, Fields>& message, MessagePart part) {
     namespace http = boost::beast::http;
     const auto serializer = std::make_shared<http::serializer<IsRequest, Body, Fields>>(message);
-    serializer->split(part == Part::header);
+    serializer->split(part == MessagePart::header);
     return [serializer, part](Tcp::socket& socket, boost::system::error_code& failed) {
         http::write_some(socket, *serializer, failed);
-        return part == Part::header ? serializer->is_header_done() : serializer->is_done();
+        return part == MessagePart::header ? serializer->is_header_done() : serializer->is_done();
     };
 }
 
 /// Writes as much as the kernel takes.
 /// @param failed  set where a call fails, with `would_block` among others.
 /// @return whether everything has been written.
-inline bool write_what_is_taken(const WriteStep& step, Tcp::socket& socket,
+inline bool write_until_blocked(const WriteStep& step, Tcp::socket& socket,
                                 boost::system::error_code& failed) {
     bool is_all_written = false;
     while (!is_all_written && !failed) is_all_written = step(socket, failed);
--- a/src/net/retry_pacer.hpp
+++ b/src/net/retry_pacer.hpp
@@ -20,15 +20,15 @@
     RetryPacer(boost::asio::io_context& io, Millis pause) : timer_(io), pause_(pause) {}
 
     /// A call has succeeded.
-    void on_success() { pace_.succeeded(); }
+    void on_success() { pace_.on_success(); }
 
     /// @return whether to pause after this failure; else the next call is due at once.
-    bool must_pause_after(boost::system::error_code failed) { return pace_.pauses_after(failed); }
+    bool must_pause_after(boost::system::error_code failed) { return pace_.must_pause_after(failed); }
 
     /// Calls `resume` after the pause, unless another one begins, or this object ends, before.
     template <class Resume>
     void pause(Resume resume) {
-        timer_.expires_after(span(pause_));
+        timer_.expires_after(to_duration(pause_));
         timer_.async_wait([resume = std::move(resume)](boost::system::error_code cancelled) mutable {
             if (!cancelled) resume();
         });
--- a/src/net/socket_errors.hpp
+++ b/src/net/socket_errors.hpp
@@ -19,20 +19,20 @@
 
 /// Whether nothing is wrong: the call would have had to wait, or a signal interrupted it. Wait, and call
 /// again.
-inline bool is_to_be_repeated(boost::system::error_code error) {
+inline bool is_transient(boost::system::error_code error) {
     return error == boost::asio::error::would_block || error == boost::asio::error::try_again ||
            is_interrupted(error);
 }
 
 /// How often a call that signals interrupt is made at most.
-inline constexpr int kInterruptedTries = 16;
+inline constexpr int kMaxInterruptedCalls = 16;
 
 /// Makes a call on a non-blocking socket, `call(error)`, again while signals interrupt it.
 /// @return its error; `interrupted` only after kInterruptedTries calls.
 template <class Call>
-boost::system::error_code repeated_while_interrupted(Call call) {
+boost::system::error_code retry_while_interrupted(Call call) {
     boost::system::error_code error;
-    for (int tries = 0; tries < kInterruptedTries; ++tries) {
+    for (int tries = 0; tries < kMaxInterruptedCalls; ++tries) {
         call(error);
         if (!is_interrupted(error)) break;
     }
@@ -40,7 +40,7 @@
 }
 
 /// Whether this machine lacks the descriptor or the memory for the call.
-inline bool is_shortage(boost::system::error_code error) {
+inline bool is_resource_shortage(boost::system::error_code error) {
     if (error.category() != boost::system::system_category()) return false;
     switch (error.value()) {
         case EMFILE:
@@ -56,7 +56,7 @@
 /// Whether connecting has failed at this machine, for want of a port, a route, a descriptor or memory, or by
 /// a rule of its own. Such an error tells nothing of the other side.
 inline bool is_local_failure(boost::system::error_code error) {
-    if (is_shortage(error) || is_to_be_repeated(error)) return true;
+    if (is_resource_shortage(error) || is_transient(error)) return true;
     if (error.category() != boost::system::system_category()) return false;
     switch (error.value()) {
         case EACCES:
@@ -77,10 +77,10 @@
 class FailurePace {
 public:
     /// A call has succeeded.
-    void succeeded() { in_a_row_ = 0; }
+    void on_success() { in_a_row_ = 0; }
     /// @return whether to pause after this failure; else the next call is due at once.
-    bool pauses_after(boost::system::error_code failed) {
-        if (!is_shortage(failed) && ++in_a_row_ < kFailuresBeforePause) return false;
+    bool must_pause_after(boost::system::error_code failed) {
+        if (!is_resource_shortage(failed) && ++in_a_row_ < kFailuresBeforePause) return false;
         in_a_row_ = 0;
         return true;
     }
@@ -94,9 +94,9 @@
 
 /// Polls a descriptor without waiting.
 /// @return those of the events that hold now; POLLHUP and POLLERR are always included.
-inline short events_now(int descriptor, short events) {
+inline short poll_events(int descriptor, short events) {
     pollfd entry{descriptor, events, 0};
-    const int answered = uninterrupted(kInterruptedTries, [&] { return ::poll(&entry, 1, 0); });
+    const int answered = retry_on_eintr(kMaxInterruptedCalls, [&] { return ::poll(&entry, 1, 0); });
     return answered >= 0 ? entry.revents : short{0};
 }
 
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -53,7 +53,7 @@
         request_ = {http::verb::get, target, net::kHttpVersion};
         request_.set(http::field::host,
                      address_.address().to_string() + ":" + std::to_string(address_.port()));
-        timer_.expires_after(net::span(patience));
+        timer_.expires_after(net::to_duration(patience));
         timer_.async_wait([weak = weak_from_this(), late = std::move(late)](error_code cancelled) {
             if (const auto self = weak.lock(); self && !cancelled && self->done_) late();
         });
@@ -194,7 +194,7 @@
 // nothing. Where that one is late too, it takes the place of the first.
 void Discovery::overdue(const Call& call) {
     if (&call != watch_.get()) return;
-    told_by(call.since() + net::span(kTold));
+    told_by(call.since() + net::to_duration(kTold));
     drop(late_);
     late_ = std::exchange(watch_, nullptr);
     failed("no answer in time", ListFailure::timed_out);
@@ -206,7 +206,7 @@
     address_ = address;
     backoff_ = kFirstBackoff;
     if (!active_) return;
-    told_by(Steady::now() + net::span(kToldAfterMove));
+    told_by(Steady::now() + net::to_duration(kToldAfterMove));
     watch(false);
     watch(true);
 }
@@ -244,9 +244,9 @@
     if (!list) {
         // Whoever is refused knows that discovery can't be reached yet: the time begins after that.
         if (failure == ListFailure::unreachable)
-            told_at_ = Steady::now() + net::span(kTold);
+            told_at_ = Steady::now() + net::to_duration(kTold);
         else
-            told_by(since + net::span(kTold));
+            told_by(since + net::to_duration(kTold));
         return failed(why, body ? ListFailure::broken : failure, retry_after);
     }
     backoff_ = kFirstBackoff;
@@ -263,7 +263,7 @@
 void Discovery::failed(const std::string& why, ListFailure kind, std::optional<Millis> retry_after) {
     if (!std::exchange(told_, true)) net::log(spdlog::level::warn, "discovery.failed", {{"why", why}});
     if (!persistent_) return callbacks_.failed({kind, net::millis(*told_at_ - Steady::now()), retry_after});
-    timer_.expires_after(net::span(backoff_));
+    timer_.expires_after(net::to_duration(backoff_));
     backoff_ = std::min(2 * backoff_, longest_backoff_);
     timer_.async_wait([this](error_code cancelled) {
         if (!cancelled && active_) watch(true);
--- a/src/node/downstream_connection.cpp
+++ b/src/node/downstream_connection.cpp
@@ -38,7 +38,7 @@
       timer_(io),
       unread_ages_([this] { return count_unread(); }),
       writer_(*this, socket_,
-              {[this] { close_at(SteadyClock::now() + net::span(kReaderTimeout)); },
+              {[this] { close_at(SteadyClock::now() + net::to_duration(kReaderTimeout)); },
                [this] { lift_time_limit(); },
                [this](bool complete, bool keep_alive) { end_response(complete, keep_alive); }}) {
     error_code ignored;
@@ -59,7 +59,7 @@
 // What reading one byte would give; it stays where it is.
 error_code Connection::peek() {
     char byte = 0;
-    return net::repeated_while_interrupted([&](error_code& error) {
+    return net::retry_while_interrupted([&](error_code& error) {
         socket_.receive(asio::buffer(&byte, 1), net::Tcp::socket::message_peek, error);
     });
 }
@@ -71,7 +71,7 @@
 
 bool Connection::has_client_left() {
     constexpr short kEnded = POLLRDHUP | POLLHUP | POLLERR;
-    return (net::events_now(socket_.native_handle(), kEnded) & kEnded) != 0;
+    return (net::poll_events(socket_.native_handle(), kEnded) & kEnded) != 0;
 }
 
 Millis Connection::unread_time() const { return unread_ages_.age(SteadyClock::now()); }
@@ -80,7 +80,7 @@
     if (state_ == State::reading_head) return EvictionRank::within_head;
     if (state_ != State::idle) return EvictionRank::needed;
     if (timeouts_.awaits_first_request()) return EvictionRank::awaits_first_request;
-    const bool for_long = SteadyClock::now() - active_at_ >= net::span(kLongIdle);
+    const bool for_long = SteadyClock::now() - active_at_ >= net::to_duration(kLongIdle);
     return for_long ? EvictionRank::idle_for_long : EvictionRank::idle;
 }
 
@@ -136,7 +136,7 @@
 
 void Connection::end_response(bool complete, bool keep_alive) {
     const bool leaves_unread = is_receiving_body();
-    if (body_) body_->on_room = nullptr;
+    if (body_) body_->on_writable = nullptr;
     body_.reset();
     head_.reset();
     parser_.end_request();
@@ -164,7 +164,7 @@
     socket_.close(ignored);
     timer_.cancel();
     const bool has_no_response = id_ != 0 && (state_ != State::responding || writer_.is_streaming());
-    if (body_) body_->on_room = nullptr;
+    if (body_) body_->on_writable = nullptr;
     writer_.stop_streaming();
     if (has_no_response) {
         owner->remove_request(id_);
@@ -178,8 +178,8 @@
     state_ = State::shutting_down;
     error_code ignored;
     socket_.shutdown(net::Tcp::socket::shutdown_send, ignored);
-    shutdown_time_limit_ = SteadyClock::now() + net::span(longest);
-    close_at(SteadyClock::now() + net::span(kLinger));
+    shutdown_time_limit_ = SteadyClock::now() + net::to_duration(longest);
+    close_at(SteadyClock::now() + net::to_duration(kLinger));
     discard();
 }
 
@@ -190,7 +190,7 @@
                             [connection = self()](error_code failed, std::size_t) {
                                 if (failed) return connection->close();
                                 if (!connection->owner_) return;
-                                const TimePoint next = SteadyClock::now() + net::span(kLinger);
+                                const TimePoint next = SteadyClock::now() + net::to_duration(kLinger);
                                 connection->close_at(std::min(connection->shutdown_time_limit_, next));
                                 connection->discard();
                             });
--- a/src/node/downstream_connection.hpp
+++ b/src/node/downstream_connection.hpp
@@ -103,7 +103,7 @@
 
     ConnectionPtr self();
     boost::system::error_code peek();
-    bool is_receiving_body() const { return body_ && !body_->whole(); }
+    bool is_receiving_body() const { return body_ && !body_->is_complete(); }
     bool is_reading_head() const { return state_ == State::idle || state_ == State::reading_head; }
     bool is_reading() const { return is_open() && (is_reading_head() || is_receiving_body()); }
     bool is_request_incomplete() const;
--- a/src/node/downstream_connection_reading.cpp
+++ b/src/node/downstream_connection_reading.cpp
@@ -37,7 +37,7 @@
     if (is_reading_head() || is_receiving_body()) return read();
     // The next request, early, stays where it is until this one has its response.
     const error_code error = peek();
-    if (net::is_to_be_repeated(error))
+    if (net::is_transient(error))
         wait_readable();
     else if (!error)
         note_unread();
@@ -48,7 +48,7 @@
 // Reads and parses as long as there is something to read and room for it.
 void Connection::read() {
     for (int turns = 0; is_reading(); ++turns) {
-        if (is_receiving_body() && body_->room() == 0) return wait_for_body_room();
+        if (is_receiving_body() && body_->free_space() == 0) return wait_for_body_room();
         if (parser_.buffered() > 0) {
             if (!parse()) return;
             continue;
@@ -71,9 +71,9 @@
     }
     const auto space = parser_.prepare(is_receiving_body() ? kBodyPiece : RequestParser::kHeadPiece);
     std::size_t count = 0;
-    const error_code error = net::repeated_while_interrupted(
-        [&](error_code& failed) { count = socket_.read_some(space, failed); });
-    if (net::is_to_be_repeated(error)) {
+    const error_code error =
+        net::retry_while_interrupted([&](error_code& failed) { count = socket_.read_some(space, failed); });
+    if (net::is_transient(error)) {
         if (state_ == State::idle) parser_.release_unused_memory();
         const bool may_be_more = net::is_interrupted(error);
         if (!may_be_more) unread_ages_.note_all_read();
@@ -113,7 +113,7 @@
         close();
         return false;
     }
-    if (step.body_bytes > 0) body->added(step.body_bytes);
+    if (step.body_bytes > 0) body->commit(step.body_bytes);
     return take_step(step);
 }
 
@@ -131,7 +131,7 @@
         complete_body();
         return false;
     }
-    if (state_ == State::reading_body && body_->full()) deliver();
+    if (state_ == State::reading_body && body_->is_full()) deliver();
     return true;
 }
 
@@ -169,13 +169,13 @@
 bool Connection::start_body() {
     state_ = State::reading_body;
     body_ = std::make_shared<net::BodyBuffer>(owner_->body_budget(), parser_.content_length());
-    body_->on_room = [weak = weak_from_this(), this] {
+    body_->on_writable = [weak = weak_from_this(), this] {
         if (const auto connection = weak.lock()) on_body_room();
     };
     timeouts_.start_body(parser_.buffered());
     limit_body_time();
     if (parser_.buffered() > 0 || !expects_continue()) return true;
-    writer_.write_out(net::write_step(asio::const_buffer(kContinue.data(), kContinue.size())),
+    writer_.write_out(net::make_write_step(asio::const_buffer(kContinue.data(), kContinue.size())),
                       [this](bool complete) {
                           if (complete)
                               read();
@@ -199,7 +199,7 @@
 // No room for the rest of a body: our delay, and on_room goes on. While its last byte is yet to come, its
 // time counts from now at the earliest.
 void Connection::wait_for_body_room() {
-    const std::uint64_t here = body_->total() + count_unread();
+    const std::uint64_t here = body_->bytes_written() + count_unread();
     if (!body_->length || here < *body_->length) unread_ages_.note_all_read();
     note_unread();
     lift_time_limit();
@@ -207,7 +207,7 @@
 
 void Connection::complete_body() {
     lift_time_limit();
-    body_->finish();
+    body_->mark_complete();
     if (!owner_) return;
     if (state_ == State::reading_body) return deliver();
     if (state_ != State::waiting) return;
@@ -229,7 +229,7 @@
     id_ = owner_->next_request_id();
     request->id = id_;
     request->message = head_;
-    const bool is_empty = body_ && body_->whole() && body_->total() == 0;
+    const bool is_empty = body_ && body_->is_complete() && body_->bytes_written() == 0;
     request->body = is_empty ? nullptr : body_;
     state_ = State::waiting;
     owner_->add_request(id_, self());
--- a/src/node/downstream_listener.cpp
+++ b/src/node/downstream_listener.cpp
@@ -85,8 +85,8 @@
 void DownstreamListener::accept_waiting() {
     for (int turns = 0; turns < kConnectionsInARow && acceptor_.is_open() && make_room(); ++turns) {
         const error_code failed = accept_one();
-        if (net::is_to_be_repeated(failed)) break;
-        if (failed && accept_pace_.pauses_after(failed)) return accept_after_pause();
+        if (net::is_transient(failed)) break;
+        if (failed && accept_pace_.must_pause_after(failed)) return accept_after_pause();
     }
     resume_accepting();
 }
@@ -97,13 +97,13 @@
     error_code failed;
     acceptor_.accept(socket, failed);
     if (failed) return failed;
-    accept_pace_.succeeded();
+    accept_pace_.on_success();
     take_connection(std::move(socket));
     return {};
 }
 
 void DownstreamListener::accept_after_pause() {
-    accept_timer_.expires_after(net::span(kAcceptPause));
+    accept_timer_.expires_after(net::to_duration(kAcceptPause));
     accept_timer_.async_wait([this](error_code cancelled) {
         if (!cancelled) resume_accepting();
     });
@@ -119,7 +119,7 @@
 // ---- The limit on connections ----
 
 bool DownstreamListener::has_newcomer() {
-    return (net::events_now(acceptor_.native_handle(), POLLIN) & POLLIN) != 0;
+    return (net::poll_events(acceptor_.native_handle(), POLLIN) & POLLIN) != 0;
 }
 
 bool DownstreamListener::make_room() {
@@ -185,7 +185,7 @@
 
 void DownstreamListener::drain(Millis accepting) {
     draining_ = true;
-    drain_timer_.expires_after(net::span(accepting));
+    drain_timer_.expires_after(net::to_duration(accepting));
     drain_timer_.async_wait([this](error_code cancelled) {
         if (!cancelled) stop_accepting();
     });
@@ -205,7 +205,7 @@
     while (failed != asio::error::would_block) {
         failed = accept_one();
         const bool has_failed = failed && failed != asio::error::would_block;
-        if (has_failed && accept_pace_.pauses_after(failed)) {
+        if (has_failed && accept_pace_.must_pause_after(failed)) {
             drain(kAcceptPause);
             return false;
         }
--- a/src/node/endpoint_list_updater.cpp
+++ b/src/node/endpoint_list_updater.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 void log_list(const config::DiscoveryList& list) {
-    if (!net::logs(net::LogLevel::debug)) return;
+    if (!net::is_logged(net::LogLevel::debug)) return;
     net::LogFields leaving = net::LogFields::array();
     for (const config::DiscoveredServer& server : list.members)
         if (server.state != EndpointState::active) leaving.push_back(server.id);
@@ -58,7 +58,7 @@
 
 // A cached list may be old and bounds nobody's age; nor do the answers of another discovery.
 ServerStartTimes::Moment EndpointListUpdater::moment_of(ListKind kind) const {
-    ServerStartTimes::Moment moment{clock_.now(), clock_.wall(), {}};
+    ServerStartTimes::Moment moment{clock_.now(), clock_.wall_time(), {}};
     if (kind == ListKind::cached) return moment;
     moment.since_answer = discovery_.state().age_before;
     if (moved_at_ && moment.since_answer > moment.now - *moved_at_) moment.since_answer.reset();
--- a/src/node/forwarded_message.cpp
+++ b/src/node/forwarded_message.cpp
@@ -29,14 +29,14 @@
     forwarded.method_string(head.method_string());
     forwarded.target(head.target());
     forwarded.version(kHttpVersion);
-    net::copy_end_to_end(forwarded, head);
+    net::copy_end_to_end_fields(forwarded, head);
     forwarded.set(http::field::host, head[http::field::host]);
     return forwarded;
 }
 
 DownstreamListener::Response forwarded_response(UpstreamPool::Response response) {
     DownstreamListener::Response forwarded(response.result(), kHttpVersion);
-    net::copy_end_to_end(forwarded, response);
+    net::copy_end_to_end_fields(forwarded, response);
     forwarded.body() = std::move(response.body());
     return forwarded;
 }
--- a/src/node/graceful_shutdown.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -45,7 +45,7 @@
 }
 
 void GracefulShutdown::end_waiting_after(Millis delay, Millis remaining) {
-    timer_.expires_after(net::span(delay));
+    timer_.expires_after(net::to_duration(delay));
     timer_.async_wait(guard_.while_alive([this, remaining = remaining - delay] {
         if (!in_progress()) return;
         listener_->end_waiting_connections();
--- a/src/node/health_checker.cpp
+++ b/src/node/health_checker.cpp
@@ -28,7 +28,7 @@
     if (!is_allowed_ || !parts_.endpoints.is_listed(server))
         return parts_.loop.handle(HealthCheckEnded{server, Outcome::not_sent, 0});
     UpstreamPool::Request ping = ping_request(parts_.endpoints.name_of(server));
-    const auto timeout = std::make_shared<boost::asio::steady_timer>(parts_.io, net::span(kTimeout));
+    const auto timeout = std::make_shared<boost::asio::steady_timer>(parts_.io, net::to_duration(kTimeout));
     const auto report = [this, server, timeout, started_at = parts_.clock.now()](Outcome outcome) {
         timeout->cancel();
         parts_.loop.handle(HealthCheckEnded{server, outcome, parts_.clock.now() - started_at});
--- a/src/node/hot_restart_lock.cpp
+++ b/src/node/hot_restart_lock.cpp
@@ -98,7 +98,7 @@
 
 bool HotRestartLock::holds_file_at_path() {
     struct stat status {};
-    if (net::uninterrupted(kMaxCallAttempts, [&] { return calls_.status(path_.c_str(), status); }) != 0)
+    if (net::retry_on_eintr(kMaxCallAttempts, [&] { return calls_.status(path_.c_str(), status); }) != 0)
         return fail(errno);
     return current_.is_same_file(status) || fail(ESTALE);
 }
@@ -107,7 +107,7 @@
 bool HotRestartLock::lock_file_at_path() {
     const int flags = O_RDWR | O_CREAT | O_CLOEXEC | O_NOCTTY;
     const int file =
-        net::uninterrupted(kMaxCallAttempts, [&] { return calls_.open(path_.c_str(), flags, kOwnerOnly); });
+        net::retry_on_eintr(kMaxCallAttempts, [&] { return calls_.open(path_.c_str(), flags, kOwnerOnly); });
     if (file < 0) return fail(errno);
     struct stat status {};
     if (calls_.status(file, status) != 0) {
@@ -138,7 +138,7 @@
 bool HotRestartLock::lock_a_byte(int file) {
     for (off_t byte = 0; byte < kMaxProcesses; ++byte) {
         struct flock range = range_of(byte, 1);
-        if (net::uninterrupted(kMaxCallAttempts, [&] { return calls_.lock(file, F_OFD_SETLK, range); }) == 0)
+        if (net::retry_on_eintr(kMaxCallAttempts, [&] { return calls_.lock(file, F_OFD_SETLK, range); }) == 0)
             return true;
         if (errno != EAGAIN && errno != EACCES) break;  // not another process's byte: a fault
     }
@@ -148,7 +148,7 @@
 OtherProcess HotRestartLock::others_in(int file) {
     if (file < 0) return OtherProcess::unknown;
     struct flock range = range_of(0, kMaxProcesses);
-    if (net::uninterrupted(kMaxCallAttempts, [&] { return calls_.lock(file, F_OFD_GETLK, range); }) != 0) {
+    if (net::retry_on_eintr(kMaxCallAttempts, [&] { return calls_.lock(file, F_OFD_GETLK, range); }) != 0) {
         fail(errno);
         return OtherProcess::unknown;
     }
--- a/src/node/hot_restart_monitor.cpp
+++ b/src/node/hot_restart_monitor.cpp
@@ -18,7 +18,7 @@
 
 void HotRestartMonitor::start() {
     check();
-    timer_.expires_after(net::span(kCheckInterval));
+    timer_.expires_after(net::to_duration(kCheckInterval));
     timer_.async_wait(guard_.while_alive([this] { start(); }));
 }
 
--- a/src/node/operator.cpp
+++ b/src/node/operator.cpp
@@ -64,7 +64,7 @@
     void on_request(error_code failed) {
         has_request_ = true;
         if (!failed) return answer(http::status::ok);
-        if (!net::malformed(failed)) return close();
+        if (!net::is_malformed(failed)) return close();
         const bool large = failed == http::error::header_limit || failed == http::error::buffer_overflow;
         answer(large ? http::status::request_header_fields_too_large : http::status::bad_request);
     }
@@ -109,7 +109,7 @@
     }
 
     void close_after(Millis length) {
-        timer_.expires_after(net::span(length));
+        timer_.expires_after(net::to_duration(length));
         timer_.async_wait([weak = weak_from_this()](error_code cancelled) {
             if (const auto self = weak.lock(); self && !cancelled) self->close();
         });
@@ -159,7 +159,7 @@
         acceptor_.accept(socket, failed);
         if (!failed)
             on_accepted(std::move(socket));
-        else if (!net::is_to_be_repeated(failed) && accept_pacer_.must_pause_after(failed))
+        else if (!net::is_transient(failed) && accept_pacer_.must_pause_after(failed))
             return accept_after_pause();
         accept();
     } catch (...) {  // no memory, say
--- a/src/node/overdue_sweep.cpp
+++ b/src/node/overdue_sweep.cpp
@@ -22,7 +22,7 @@
 }
 
 void OverdueSweep::schedule() {
-    timer_.expires_after(net::span(kSweepInterval));
+    timer_.expires_after(net::to_duration(kSweepInterval));
     timer_.async_wait(guard_.while_alive([this] {
         time_out_overdue();
         if (has_suspects()) schedule();
--- a/src/node/peers.hpp
+++ b/src/node/peers.hpp
@@ -49,9 +49,9 @@
     std::vector<net::Udp::endpoint> peers_;
     std::optional<net::Udp::endpoint> all_;
     Received received_;
-    net::Udp::endpoint sender_;                         // of the last datagram
-    net::LogLimit stray_log_{std::chrono::seconds(1)};  // a flood of strays writes a line a second
-    std::array<std::uint8_t, kLongest + 1> buffer_{};   // longer messages are told by the byte beyond
+    net::Udp::endpoint sender_;                               // of the last datagram
+    net::RateLimitedLog stray_log_{std::chrono::seconds(1)};  // a flood of strays writes a line a second
+    std::array<std::uint8_t, kLongest + 1> buffer_{};         // longer messages are told by the byte beyond
 };
 
 }  // namespace mothring::node
--- a/src/node/request_forwarder.cpp
+++ b/src/node/request_forwarder.cpp
@@ -31,7 +31,7 @@
     event.time_left = parts_.shutdown.limit(incoming.time_left);
     event.effort = incoming.effort;
     event.is_retry = incoming.is_retry;
-    event.body_incomplete = incoming.body && !incoming.body->whole();
+    event.body_incomplete = incoming.body && !incoming.body->is_complete();
     event.affinity_hash = affinity_hash_of(parts_.config.affinity, incoming.class_name, *incoming.message);
     Request& request = parts_.requests.add(incoming.id);
     request.head = std::move(incoming.message);
@@ -117,7 +117,7 @@
     const Millis deadline = deadline_of(send, *request);
     request->attempts.push_back({0, send.server, parts_.clock.now(), true});
     parts_.endpoints.add_attempt(send.server);
-    if (request->body && !request->body->kept()) return end_attempt(key, Outcome::not_sent);
+    if (request->body && !request->body->is_retained()) return end_attempt(key, Outcome::not_sent);
     UpstreamPool::Request outgoing = upstream_request(send, *request);
     if (!outgoing.may_begin(outgoing.message)) return end_attempt(key, Outcome::not_sent);
     start_exchange(send, *request, std::move(outgoing));
@@ -149,7 +149,7 @@
 }
 
 void RequestForwarder::log_chosen(const SendAttempt& send, const Request& request) const {
-    if (!net::logs(net::LogLevel::debug)) return;
+    if (!net::is_logged(net::LogLevel::debug)) return;
     net::log(net::LogLevel::debug, "attempt.chosen",
              {{"request", std::string((*request.head)["Request-Id"])},
               {"server", parts_.endpoints.name_of(send.server)}});
@@ -216,7 +216,7 @@
     const Millis end = attempt.has_response_started() ? attempt.response_started_at : parts_.clock.now();
     const Millis duration = std::max(0.0, end - std::max(attempt.sent_at, request->complete_at));
     AttemptEnded event{key.request, key.attempt, outcome, duration, request->has_ended};
-    if (request->body && !request->body->kept() && !request->has_ended)
+    if (request->body && !request->body->is_retained() && !request->has_ended)
         parts_.loop.handle(BodyDiscarded{key.request});
     const ServerId server = attempt.server;
     // A server's verdict on the request is the client's response, also that it can't be served.
--- a/src/node/request_parser.cpp
+++ b/src/node/request_parser.cpp
@@ -37,17 +37,17 @@
 
 void RequestParser::start_request() {
     parser_.emplace();
-    parser_->header_limit(net::kHeaderLimit);
-    parser_->body_limit(net::kLargestBody);
+    parser_->header_limit(net::kMaxHeaderBytes);
+    parser_->body_limit(net::kMaxForwardedBodyBytes);
 }
 
 RequestParser::Step RequestParser::parse(net::BodyBuffer* body) {
     auto& part = parser_->get().body();
     std::size_t room = 0;
     if (body != nullptr) {
-        room = body->room();
+        room = body->free_space();
         part.size = room;
-        part.data = body->space();
+        part.data = body->write_pointer();
         part.more = true;
     }
     const bool was_in_head = !parser_->is_header_done();
@@ -70,7 +70,7 @@
 std::optional<http::status> RequestParser::head_error() const {
     if (!is_framed() || http_version() > kHttp11) return http::status::bad_request;
     const auto length = content_length();
-    if (length && *length > net::kLargestBody) return http::status::payload_too_large;
+    if (length && *length > net::kMaxForwardedBodyBytes) return http::status::payload_too_large;
     return std::nullopt;
 }
 
--- a/src/node/request_parser.hpp
+++ b/src/node/request_parser.hpp
@@ -73,7 +73,7 @@
 private:
     bool is_framed() const;
 
-    boost::beast::flat_buffer buffer_{net::kHeaderLimit + kHeadPiece};
+    boost::beast::flat_buffer buffer_{net::kMaxHeaderBytes + kHeadPiece};
     std::optional<boost::beast::http::request_parser<boost::beast::http::buffer_body>> parser_;
 };
 
--- a/src/node/request_timeouts.cpp
+++ b/src/node/request_timeouts.cpp
@@ -16,12 +16,12 @@
 
 RequestTimeouts::TimePoint RequestTimeouts::connect(TimePoint now) {
     connected_at_ = now;
-    return now + net::span(kSmallRequest);
+    return now + net::to_duration(kSmallRequest);
 }
 
 RequestTimeouts::TimePoint RequestTimeouts::start_head(TimePoint now) {
     head_began_ = connected_at_.value_or(now);
-    return head_began_ + net::span(kSmallRequest);
+    return head_began_ + net::to_duration(kSmallRequest);
 }
 
 void RequestTimeouts::start_body(std::size_t bytes) {
@@ -35,9 +35,9 @@
 }
 
 RequestTimeouts::TimePoint RequestTimeouts::body_due(TimePoint now) const {
-    const TimePoint small = body_began_ + net::span(kSmallRequest);
-    const TimePoint paced = small + net::span(static_cast<double>(received_) / kSlowestPace);
-    return std::max(small, std::min(now + net::span(kBodyPause), paced));
+    const TimePoint small = body_began_ + net::to_duration(kSmallRequest);
+    const TimePoint paced = small + net::to_duration(static_cast<double>(received_) / kSlowestPace);
+    return std::max(small, std::min(now + net::to_duration(kBodyPause), paced));
 }
 
 }  // namespace mothring::node::downstream
--- a/src/node/response_writer.cpp
+++ b/src/node/response_writer.cpp
@@ -21,7 +21,7 @@
     response.keep_alive(keep_alive);
     response.prepare_payload();
     const auto message = std::make_shared<Response>(std::move(response));
-    write_out(net::write_step(*message, net::Part::whole),
+    write_out(net::make_write_step(*message, net::MessagePart::header_and_body),
               [this, message](bool complete) { callbacks_.on_ended(complete, message->keep_alive()); });
 }
 
@@ -38,27 +38,27 @@
     if (framing_ == BodyFraming::until_close) reset_on_close(true);
     // What the kernel holds of it is bounded too, so that a slow reader's progress shows.
     error_code ignored;
-    socket_.set_option(asio::socket_base::send_buffer_size(static_cast<int>(net::BodyBuffer::kMost)),
+    socket_.set_option(asio::socket_base::send_buffer_size(static_cast<int>(net::BodyBuffer::kMaxCapacity)),
                        ignored);
     const auto message = std::make_shared<ResponseHead>(std::move(head));
     state_ = State::writing;
     callbacks_.on_progress();
-    write_out(net::write_step(*message, net::Part::header),
+    write_out(net::make_write_step(*message, net::MessagePart::header),
               [this, message](bool complete) { written(complete, 0); });
-    body_->on_more = [this, weak = connection_.weak_from_this()] {
+    body_->on_readable = [this, weak = connection_.weak_from_this()] {
         if (const auto connection = weak.lock()) connection->guarded([this] { write_more(); });
     };
 }
 
 void ResponseWriter::stop_streaming() {
     const auto body = std::exchange(body_, nullptr);
-    if (body) body->on_more = nullptr;
+    if (body) body->on_readable = nullptr;
 }
 
 void ResponseWriter::write_out(net::WriteStep step, std::function<void(bool)> on_written) {
     error_code failed;
-    const bool complete = net::write_what_is_taken(step, socket_, failed);
-    if (complete || !net::is_to_be_repeated(failed)) {
+    const bool complete = net::write_until_blocked(step, socket_, failed);
+    if (complete || !net::is_transient(failed)) {
         asio::post(socket_.get_executor(), connection_.if_open([on_written = std::move(on_written),
                                                                 complete] { on_written(complete); }));
         return;
@@ -76,8 +76,8 @@
     const std::string_view bytes = body_->unread();
     if (!bytes.empty()) return write_body(bytes);
     // The client can tell: the body is short of its length, lacks its last chunk, or the connection is reset.
-    if (body_->broken()) return connection_.close();
-    if (!body_->whole()) return callbacks_.on_waiting();
+    if (body_->is_truncated()) return connection_.close();
+    if (!body_->is_complete()) return callbacks_.on_waiting();
     if (framing_ == BodyFraming::chunked && state_ != State::last_chunk_written) return write_last_chunk();
     end_stream();
 }
@@ -88,14 +88,14 @@
     const auto on_written = [this, count = bytes.size()](bool complete) { written(complete, count); };
     const asio::const_buffer out(bytes.data(), bytes.size());
     if (framing_ == BodyFraming::chunked)
-        write_out(net::write_step(http::make_chunk(out)), on_written);
+        write_out(net::make_write_step(http::make_chunk(out)), on_written);
     else
-        write_out(net::write_step(out), on_written);
+        write_out(net::make_write_step(out), on_written);
 }
 
 void ResponseWriter::write_last_chunk() {
     state_ = State::writing_last_chunk;
-    write_out(net::write_step(http::make_chunk_last()), [this](bool complete) { written(complete, 0); });
+    write_out(net::make_write_step(http::make_chunk_last()), [this](bool complete) { written(complete, 0); });
 }
 
 void ResponseWriter::end_stream() {
@@ -108,7 +108,7 @@
     state_ = state_ == State::writing_last_chunk ? State::last_chunk_written : State::waiting;
     if (!complete) return connection_.close();
     const auto body = body_;
-    if (body_bytes > 0) body->take(body_bytes);
+    if (body_bytes > 0) body->consume(body_bytes);
     write_more();
 }
 
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -83,7 +83,7 @@
             io_, *config_.operators,
             OperatorListener::Callbacks{[this] { return ready(); }, [this] { return render(metrics()); }});
     } catch (const boost::system::system_error& error) {
-        if (net::is_shortage(error.code())) throw;
+        if (net::is_resource_shortage(error.code())) throw;
         throw config::ConfigError("'operator' can't be listened on: " + error.code().message());
     }
 }
@@ -120,7 +120,7 @@
     try {
         cluster_.emplace(io_, *config_.cluster, config_.name, MOTHRING_VERSION, cluster_callbacks());
     } catch (const boost::system::system_error& error) {
-        if (net::is_shortage(error.code())) throw;
+        if (net::is_resource_shortage(error.code())) throw;
         throw config::ConfigError("'cluster.bind' can't be listened on: " + error.code().message());
     }
 }
@@ -163,7 +163,7 @@
         listen_for_clients();
     } catch (const boost::system::system_error& error) {
         net::log(net::LogLevel::warn, "sidecar.not_listening", {{"error", error.code().message()}});
-        listen_timer_.expires_after(net::span(kListenRetryDelay));
+        listen_timer_.expires_after(net::to_duration(kListenRetryDelay));
         listen_timer_.async_wait(guard_.while_alive([this] {
             if (!listener_ && !shutdown_.in_progress()) listen_for_clients_with_retry();
         }));
@@ -185,10 +185,10 @@
 }
 
 void Sidecar::log_addresses() const {
-    net::LogFields addresses{{"listen", net::written(listener_->address())}, {"pid", ::getpid()}};
-    if (operators_) addresses["operator"] = net::written(operators_->address());
-    if (peers_) addresses["peers"] = net::written(peers_->address());
-    if (cluster_) addresses["cluster"] = net::written(cluster_->address());
+    net::LogFields addresses{{"listen", net::format_endpoint(listener_->address())}, {"pid", ::getpid()}};
+    if (operators_) addresses["operator"] = net::format_endpoint(operators_->address());
+    if (peers_) addresses["peers"] = net::format_endpoint(peers_->address());
+    if (cluster_) addresses["cluster"] = net::format_endpoint(cluster_->address());
     net::log(net::LogLevel::info, "sidecar.listening", std::move(addresses));
 }
 
@@ -196,7 +196,7 @@
 
 void Sidecar::reconfigure(const config::Config& config) {
     if (config.discovery == config_.discovery) return;
-    net::log(net::LogLevel::info, "discovery.moved", {{"address", net::written(config.discovery)}});
+    net::log(net::LogLevel::info, "discovery.moved", {{"address", net::format_endpoint(config.discovery)}});
     config_.discovery = config.discovery;
     endpoint_list_.move(config.discovery);
 }
--- a/src/node/sidecar.hpp
+++ b/src/node/sidecar.hpp
@@ -97,7 +97,7 @@
     std::optional<OperatorListener> operators_;
     std::optional<cluster::Agent> cluster_;
     /// A flood of datagrams that are rejected writes a line a second.
-    net::LogLimit cluster_rejections_{std::chrono::seconds(1)};
+    net::RateLimitedLog cluster_rejections_{std::chrono::seconds(1)};
     std::optional<HotRestartMonitor> hot_restart_;
     Metrics metrics_;
     InFlightRequests in_flight_;
--- a/src/node/timer_queue.cpp
+++ b/src/node/timer_queue.cpp
@@ -21,7 +21,7 @@
 
 void TimerQueue::arm() {
     if (scheduled_.empty()) return;
-    timer_.expires_at(clock_.when(scheduled_.top().at));
+    timer_.expires_at(clock_.to_time_point(scheduled_.top().at));
     timer_.async_wait(guard_.while_alive([this] { report_due(); }));
 }
 
--- a/src/node/upstream_connection.cpp
+++ b/src/node/upstream_connection.cpp
@@ -68,7 +68,7 @@
 /// Asio takes EAGAIN for a connection that is being established, and the first look at it for its success. A
 /// connection that has been established, and has ended, is shut down for reading too.
 bool UpstreamConnection::is_never_connected() {
-    const short events = net::events_now(socket_.native_handle(), POLLRDHUP);
+    const short events = net::poll_events(socket_.native_handle(), POLLRDHUP);
     return (events & POLLHUP) != 0 && (events & POLLRDHUP) == 0;
 }
 
@@ -91,14 +91,14 @@
     socket_.non_blocking(true, error);
     socket_.receive(asio::buffer(&byte, sizeof byte), net::Tcp::socket::message_peek, error);
     return error == asio::error::would_block &&
-           std::chrono::steady_clock::now() - idle_since_ < net::span(limits().idle_timeout);
+           std::chrono::steady_clock::now() - idle_since_ < net::to_duration(limits().idle_timeout);
 }
 
 bool UpstreamConnection::cancel() {
     const auto exchange = std::exchange(exchange_, nullptr);
     const auto streamed_body = exchange ? exchange->release() : nullptr;
     close();
-    if (streamed_body) streamed_body->fail();
+    if (streamed_body) streamed_body->mark_truncated();
     return exchange && exchange->writer().is_written();
 }
 
@@ -113,7 +113,7 @@
 }
 
 void UpstreamConnection::expire_after(Millis length) {
-    timer_.expires_after(net::span(length));
+    timer_.expires_after(net::to_duration(length));
     timer_.async_wait([weak = weak_from_this(), due = timer_.expiry()](error_code cancelled) {
         const auto self = weak.lock();
         if (cancelled || !self) return;
@@ -157,9 +157,9 @@
     owner->on_exchange_ended(*exchange, outcome, std::move(response));
     if (!streamed_body) return;
     if (outcome == Outcome::completed)
-        streamed_body->finish();
+        streamed_body->mark_complete();
     else
-        streamed_body->fail();
+        streamed_body->mark_truncated();
 }
 
 }  // namespace mothring::node
--- a/src/node/upstream_connection.hpp
+++ b/src/node/upstream_connection.hpp
@@ -144,7 +144,7 @@
     const std::uint64_t incarnation_;
     net::Tcp::socket socket_;
     boost::asio::steady_timer timer_;
-    boost::beast::flat_buffer received_{net::kHeaderLimit + kHeadReadSize};
+    boost::beast::flat_buffer received_{net::kMaxHeaderBytes + kHeadReadSize};
     std::shared_ptr<UpstreamExchange> exchange_;  // null: idle
     std::chrono::steady_clock::time_point idle_since_;
     bool is_connected_ = false;
--- a/src/node/upstream_exchange.cpp
+++ b/src/node/upstream_exchange.cpp
@@ -27,7 +27,7 @@
 
 std::shared_ptr<net::BodyBuffer> UpstreamExchange::release() {
     is_ended_ = true;
-    if (request_.body) request_.body->on_more = nullptr;
+    if (request_.body) request_.body->on_readable = nullptr;
     return reader_.release();
 }
 
--- a/src/node/upstream_pool.cpp
+++ b/src/node/upstream_pool.cpp
@@ -46,7 +46,7 @@
 
 UpstreamPool::ConnectionPtr UpstreamPool::take_idle(Server& server) {
     const auto rested_since =
-        std::chrono::steady_clock::now() - net::span(resources_.limits.rest_after_response);
+        std::chrono::steady_clock::now() - net::to_duration(resources_.limits.rest_after_response);
     // From the back: a connection that closes leaves those before it in their places.
     for (std::size_t i = server.idle.size(); i > 0; --i) {
         ConnectionPtr connection = server.idle[i - 1];
--- a/src/node/upstream_request_writer.cpp
+++ b/src/node/upstream_request_writer.cpp
@@ -20,11 +20,11 @@
 void UpstreamRequestWriter::begin() {
     has_begun_ = true;
     const UpstreamRequest& request = exchange_.request();
-    if (net::logs(spdlog::level::debug)) {
+    if (net::is_logged(spdlog::level::debug)) {
         net::log(spdlog::level::debug, "attempt.written",
                  {{"request", std::string(request.message["Request-Id"])}});
     }
-    if (!request.body || request.body->whole())
+    if (!request.body || request.body->is_complete())
         write_complete();
     else
         write_head();
@@ -37,7 +37,7 @@
     request.message.body() = boost::beast::span<const char>(body.data(), body.size());
     request.message.prepare_payload();
     last_part_is_out_ = true;
-    write(net::write_step(request.message, net::Part::whole), 0);
+    write(net::make_write_step(request.message, net::MessagePart::header_and_body), 0);
 }
 
 /// Writes the head of a request whose body is yet to come, or part of it.
@@ -47,10 +47,10 @@
         request.message.content_length(*request.body->length);
     else
         request.message.chunked(true);
-    request.body->on_more = [weak = exchange_.weak_from_this()] {
+    request.body->on_readable = [weak = exchange_.weak_from_this()] {
         if (const auto exchange = weak.lock()) exchange->writer().write_body();
     };
-    write(net::write_step(request.message, net::Part::header), 0);
+    write(net::make_write_step(request.message, net::MessagePart::header), 0);
 }
 
 /// Writes what has come of the body; its last bytes go out together with what ends it.
@@ -59,7 +59,7 @@
     net::BodyBuffer& body = *exchange_.request().body;
     const auto bytes = body.unread();
     // With a stated length the last byte goes out before the end of the body is reported.
-    last_part_is_out_ = body.whole() || body.length == body.total();
+    last_part_is_out_ = body.is_complete() || body.length == body.bytes_written();
     if (bytes.empty() && !last_part_is_out_) return;
     write_body_part(asio::const_buffer(bytes.data(), bytes.size()));
 }
@@ -67,14 +67,14 @@
 void UpstreamRequestWriter::write_body_part(asio::const_buffer part) {
     const std::size_t size = part.size();
     if (exchange_.request().body->length) {
-        write(net::write_step(part), size);
+        write(net::make_write_step(part), size);
     } else if (size == 0) {
-        write(net::write_step(http::make_chunk_last()), 0);
+        write(net::make_write_step(http::make_chunk_last()), 0);
     } else if (!last_part_is_out_) {
-        write(net::write_step(http::make_chunk(part)), size);
+        write(net::make_write_step(http::make_chunk(part)), size);
     } else {
         const auto chunks = boost::beast::buffers_cat(http::make_chunk(part), http::make_chunk_last());
-        write(net::write_step(chunks), size);
+        write(net::make_write_step(chunks), size);
     }
 }
 
@@ -82,9 +82,9 @@
 void UpstreamRequestWriter::write(net::WriteStep step, std::size_t body_bytes) {
     is_writing_ = true;
     error_code failed;
-    if (net::write_what_is_taken(step, exchange_.connection().socket(), failed)) {
+    if (net::write_until_blocked(step, exchange_.connection().socket(), failed)) {
         on_written(body_bytes);
-    } else if (net::is_to_be_repeated(failed)) {
+    } else if (net::is_transient(failed)) {
         write_when_possible(std::move(step), body_bytes);
     } else {
         // UpstreamPool::start() must not report an outcome before it has returned.
@@ -109,7 +109,7 @@
     is_written_ = last_part_is_out_;
     const UpstreamRequest& request = exchange_.request();
     if (is_written_ && request.is_attempt) exchange_.connection().count_attempt();
-    if (body_bytes > 0) request.body->take(body_bytes);
+    if (body_bytes > 0) request.body->consume(body_bytes);
     if (!is_written_ && request.body) write_body();
 }
 
--- a/src/node/upstream_response_reader.cpp
+++ b/src/node/upstream_response_reader.cpp
@@ -28,8 +28,8 @@
 constexpr int kStepsPerTurn = 8;
 
 /// Limits the log of responses that are not HTTP, which a server sends in bulk, to a line a second.
-net::LogLimit& not_http_log() {
-    static net::LogLimit limit(std::chrono::seconds(1));
+net::RateLimitedLog& not_http_log() {
+    static net::RateLimitedLog limit(std::chrono::seconds(1));
     return limit;
 }
 
@@ -57,7 +57,7 @@
     UpstreamConnection& connection = exchange->connection();
     int steps = 0;
     while (exchange->is_under_way()) {
-        if (body_ && body_->room() == 0) return on_body_full();
+        if (body_ && body_->free_space() == 0) return on_body_full();
         if (connection.received().size() > 0) {
             if (!parse()) return;
         } else if (steps >= kStepsPerTurn) {
@@ -79,7 +79,7 @@
 
 std::shared_ptr<net::BodyBuffer> UpstreamResponseReader::release() {
     const auto body = std::exchange(body_, nullptr);
-    if (body) body->on_room = nullptr;
+    if (body) body->on_writable = nullptr;
     parser_.reset();
     const bool was_streaming = std::exchange(is_streaming_, false);
     return was_streaming ? body : nullptr;
@@ -93,7 +93,7 @@
     const std::size_t size = std::min(received.max_size() - received.size(),
                                       body_ ? kBodyReadSize : UpstreamConnection::kHeadReadSize);
     const std::size_t count = connection.socket().read_some(received.prepare(size), error);
-    if (net::is_to_be_repeated(error)) {
+    if (net::is_transient(error)) {
         connection.wait_readable();
         return false;
     }
@@ -123,8 +123,8 @@
 bool UpstreamResponseReader::parse() {
     if (!parser_) {
         parser_.emplace();
-        parser_->header_limit(net::kHeaderLimit);
-        parser_->body_limit(net::kLargestBody);
+        parser_->header_limit(net::kMaxHeaderBytes);
+        parser_->body_limit(net::kMaxForwardedBodyBytes);
     }
     const bool had_header = parser_->is_header_done();
     error_code error;
@@ -155,9 +155,9 @@
     std::size_t room = 0;
     auto& part = parser_->get().body();
     if (body_) {
-        room = body_->room();
+        room = body_->free_space();
         part.size = room;
-        part.data = body_->space();
+        part.data = body_->write_pointer();
         part.more = true;
     }
     parser_->eager(parser_->is_header_done());
@@ -165,7 +165,7 @@
     const std::size_t parsed = parser_->put(received.data(), error);
     received.consume(parsed);
     if (!body_ || part.size >= room) return true;
-    body_->added(room - part.size);
+    body_->commit(room - part.size);
     return exchange_.is_under_way();
 }
 
@@ -177,7 +177,7 @@
         return true;
     }
     const auto length = parser_->content_length();
-    if (length && *length > net::kLargestBody) {
+    if (length && *length > net::kMaxForwardedBodyBytes) {
         on_broken(http::error::body_limit);
         return false;
     }
@@ -194,8 +194,8 @@
 bool UpstreamResponseReader::is_too_long_to_buffer() {
     if (!body_ || is_streaming_) return false;
     const bool is_known_to_be =
-        body_->length && *body_->length > net::BodyBuffer::kMost && body_->total() > 0;
-    return is_known_to_be || body_->full();
+        body_->length && *body_->length > net::BodyBuffer::kMaxCapacity && body_->bytes_written() > 0;
+    return is_known_to_be || body_->is_full();
 }
 
 /// A streamed response waits for its reader; one that was to be buffered can't be.
@@ -210,14 +210,14 @@
     const auto& on_response_started = exchange_.callbacks().on_response_started;
     if (!on_response_started || parser_->get().result() != http::status::ok) return;
     UpstreamConnection& connection = exchange_.connection();
-    if (body_->total() == 0) return connection.expire_after(connection.limits().buffering_time);
+    if (body_->bytes_written() == 0) return connection.expire_after(connection.limits().buffering_time);
     is_streaming_ = true;
     connection.expire_after(kSilenceTimeout);
-    body_->on_room = [weak = exchange_.weak_from_this()] {
+    body_->on_writable = [weak = exchange_.weak_from_this()] {
         if (const auto exchange = weak.lock()) exchange->reader().on_body_room();
     };
     UpstreamResponseHead head(http::status::ok, net::kHttpVersion);
-    net::copy_end_to_end(head, parser_->get());
+    net::copy_end_to_end_fields(head, parser_->get());
     on_response_started(std::move(head), body_);
 }
 
@@ -235,7 +235,7 @@
 
 /// The response can't be read to its end.
 void UpstreamResponseReader::on_broken(error_code why) {
-    if (net::malformed(why))
+    if (net::is_malformed(why))
         not_http_log().log(spdlog::level::warn, "upstream.not_http", {{"why", why.message()}});
     // The proof that the request never ran stands in the header.
     const bool has_header = parser_ && parser_->is_header_done();
@@ -250,7 +250,7 @@
     UpstreamResponse response(message.result(), net::kHttpVersion);
     const Outcome outcome = outcome_of(message);
     if (!is_streaming_) {
-        net::copy_end_to_end(response, message);
+        net::copy_end_to_end_fields(response, message);
         if (body_) response.body() = std::string(body_->unread());
     }
     exchange_.end(is_reusable ? ConnectionUse::reused : ConnectionUse::closed, outcome, std::move(response));
--- a/tests/clock_step_test.cpp
+++ b/tests/clock_step_test.cpp
@@ -10,7 +10,8 @@
 constexpr Millis kSecond = 1000, kHour = 3600 * kSecond;
 
 // `started_ms` as discovery writes it: any JSON.
-std::string started_list(int version, bool full, const std::vector<std::pair<Listed, std::string>>& servers) {
+std::string started_list(int version, bool full,
+                         const std::vector<std::pair<ListedServer, std::string>>& servers) {
     std::string text = list_json(version, full, {});
     const std::size_t end = text.rfind("]}");
     std::string entries;
@@ -18,7 +19,8 @@
         const std::string one = list_json(1, true, {server});
         const std::size_t from = one.find("{\"id\""), to = one.rfind("]}");
         if (!entries.empty()) entries += ",";
-        entries += replaced(one.substr(from, to - from), "\"started_ms\":0", "\"started_ms\":" + started);
+        entries +=
+            replace_first(one.substr(from, to - from), "\"started_ms\":0", "\"started_ms\":" + started);
     }
     return text.insert(end, entries);
 }
@@ -44,8 +46,8 @@
     }
     void start_stepped(const std::string& known) {
         std::string text = config_json(agent.address(), known);
-        text = replaced(text, "\"warm-within-ms\":20000.0",
-                        "\"warm-within-ms\":" + written_ms(slow_start_window));
+        text = replace_first(text, "\"warm-within-ms\":20000.0",
+                             "\"warm-within-ms\":" + written_ms(slow_start_window));
         config::Config config = config::read_config(text);
         config.read_wall_clock = [this] { return net::read_system_clock() + step; };
         sidecar.emplace(io, std::move(config));
@@ -55,7 +57,7 @@
     void answer_watch(const std::string& list) {
         until([&] { return !agent.requests.empty() && agent.requests.size() > answered; });
         answered = agent.requests.size();
-        tell(list);
+        send_list(list);
         until([&] { return agent.requests.size() > answered; });
     }
     // Where `stepped` holds, the machines of the servers and of discovery have been stepped too.
@@ -64,7 +66,7 @@
         return started_list(version, false, {{listed_b, written_ms(at)}});
     }
     void pass(Millis length) {
-        const auto end = std::chrono::steady_clock::now() + net::span(length);
+        const auto end = std::chrono::steady_clock::now() + net::to_duration(length);
         until([&] { return std::chrono::steady_clock::now() >= end; });
     }
 
@@ -80,7 +82,7 @@
         ASSERT_EQ(sidecar->gauges().unavailable, 1U);
     }
 
-    Listed listed_a{"s-a", a.address()}, listed_b{"s-b", b.address()};
+    ListedServer listed_a{"s-a", a.address()}, listed_b{"s-b", b.address()};
     std::size_t answered = 0;
     int next_request = 0;
 };
@@ -340,7 +342,7 @@
     answer_watch(started_list(43, false, {{listed_b, GetParam()}, {{"s-c", c.address()}, "0"}}));
     EXPECT_FALSE(b_is_warm());
     EXPECT_GE(c.requests.size(), 10U);
-    EXPECT_TRUE(watched_from("43"));
+    EXPECT_TRUE(is_watched_from("43"));
 }
 
 TEST_P(BadStarts, OfTheListAtTheStartKeepNoSidecarFromServing) {
--- a/tests/cluster_restart_test.cpp
+++ b/tests/cluster_restart_test.cpp
@@ -59,7 +59,7 @@
     /// Whether the condition comes to hold within so long (ms).
     template <class Condition>
     bool until(Condition holds, Millis limit) {
-        const auto end = std::chrono::steady_clock::now() + net::span(limit);
+        const auto end = std::chrono::steady_clock::now() + net::to_duration(limit);
         while (!holds()) {
             if (std::chrono::steady_clock::now() >= end) return false;
             io.run_one_until(end);
@@ -228,7 +228,7 @@
 };
 
 TEST_F(ScriptedMember, IsTakenFromItsAnswerToTheChallengeOnAndNotBefore) {
-    const std::string address = net::written(socket.local_endpoint());
+    const std::string address = net::format_endpoint(socket.local_endpoint());
     const Bytes unproven = later.seal(introduction(address));
     const auto sequence = provoke_challenge();
     ASSERT_TRUE(sequence);
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -101,7 +101,7 @@
         return count;
     };
     ASSERT_TRUE(lab->until([&] { return quorums() == 0; }, 30000));
-    for (std::size_t i = 0; i < 6; ++i) EXPECT_EQ(ask(i).end, End::served);
+    for (std::size_t i = 0; i < 6; ++i) EXPECT_EQ(send_and_wait(i).end, End::served);
     lab->relay().remove(rule);
     EXPECT_TRUE(until_all(6));
     EXPECT_EQ(quorums(), 6u);
@@ -139,8 +139,8 @@
 
 TEST_F(ClusterRig, StrayForgedReplayedAndTruncatedDatagramsAreCountedAndDropped) {
     gather(2, "period_ms = 200\n");
-    const auto target =
-        *net::endpoint_of<net::Udp::endpoint>(lab->last_event(0, "sidecar.listening").value("cluster", ""));
+    const auto target = *net::parse_endpoint<net::Udp::endpoint>(
+        lab->last_event(0, "sidecar.listening").value("cluster", ""));
     asio::io_context io;
     net::Udp::socket stray(io, any_udp_port);
     cluster::Codec wrong("not the fleet's shared key", "n9", 1), right(lab->cluster_key(), "n8", 1);
@@ -148,7 +148,7 @@
     join.kind = evict.kind = cluster::Message::Kind::gossip;
     cluster::Claim n9, n2;
     n9.name = "n9";
-    n9.udp = n9.tcp = net::written(stray.local_endpoint());
+    n9.udp = n9.tcp = net::format_endpoint(stray.local_endpoint());
     n2.name = "n2";
     n2.state = cluster::State::dead;
     n2.incarnation = 1ULL << 60;
@@ -178,7 +178,7 @@
     start("[sidecars]\ncount = 2\nmay_tell = false\n[sidecars.cluster]\nperiod_ms = 100\n");
     EXPECT_EQ(told("cluster.off"), 2u);
     EXPECT_FALSE(lab->metrics(0).contains("cluster"));
-    EXPECT_EQ(ask(0).end, End::served);
+    EXPECT_EQ(send_and_wait(0).end, End::served);
     EXPECT_EQ(lab->relay().counts().datagrams, 0u);
 }
 
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -9,11 +9,12 @@
 
 struct Crossing : NetRig {
     // Connections may come up late; whether attempts that have begun may be withdrawn is the test's.
-    void start_patient(const std::vector<Listed>& known, bool may_cancel = false, int window = 3000) {
+    void start_patient(const std::vector<ListedServer>& known, bool may_cancel = false, int window = 3000) {
         std::string text = config_json(agent.address(), list_json(41, true, known));
-        text = replaced(text, "\"connect-timeout-ms\":150.0", "\"connect-timeout-ms\":5000.0");
-        if (!may_cancel) text = replaced(text, "\"may-cancel\":true", "\"may-cancel\":false");
-        text = replaced(text, "\"dedup-window-ms\":3000.0", "\"dedup-window-ms\":" + std::to_string(window));
+        text = replace_first(text, "\"connect-timeout-ms\":150.0", "\"connect-timeout-ms\":5000.0");
+        if (!may_cancel) text = replace_first(text, "\"may-cancel\":true", "\"may-cancel\":false");
+        text = replace_first(text, "\"dedup-window-ms\":3000.0",
+                             "\"dedup-window-ms\":" + std::to_string(window));
         sidecar.emplace(io, config::read_config(text));
     }
     bool nothing_out() const { return sidecar->metrics().in_flight == 0; }
@@ -29,9 +30,9 @@
     until([&] { return sidecar->request_count() == 1; });
     c.close();
     until([&] { return nothing_out(); });
-    held.let_go();
-    EXPECT_EQ(ask(request("deposit", "id-stays")).body(), "held");
-    EXPECT_EQ(held.in.find("id-left"), std::string::npos) << held.in;
+    held.release();
+    EXPECT_EQ(send_and_wait(request("deposit", "id-stays")).body(), "held");
+    EXPECT_EQ(held.received.find("id-left"), std::string::npos) << held.received;
     EXPECT_EQ(sidecar->request_count(), 0u);
     EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
@@ -40,18 +41,18 @@
 TEST_F(Crossing, NothingIsSentOnAConnectionThatComesUpAfterItsServersDrainWasTold) {
     HeldServer held(io);
     start_patient({{"s-held", held.address()}});
-    until([&] { return watched_from("41"); });
+    until([&] { return is_watched_from("41"); });
     TestClient& c = client();
     c.send(request("deposit", "id-1"));
     until([&] { return sidecar->request_count() == 1; });
-    tell(list_json(42, false, {{"s-held", held.address(), "Terminating"}, {"s-b", b.address()}}));
-    until([&] { return watched_from("42"); });
-    held.let_go();
+    send_list(list_json(42, false, {{"s-held", held.address(), "Terminating"}, {"s-b", b.address()}}));
+    until([&] { return is_watched_from("42"); });
+    held.release();
     until([&] { return c.answers.size() == 1; });
     EXPECT_EQ(c.answers[0].body(), "served");
     EXPECT_EQ(b.requests.size(), 1u);
-    EXPECT_EQ(held.came, 1u);
-    EXPECT_EQ(held.in, "");
+    EXPECT_EQ(held.accepted, 1u);
+    EXPECT_EQ(held.received, "");
 }
 
 // A repeat that servers are to drop has to reach them while they remember the key.
@@ -59,20 +60,20 @@
     HeldServer held(io);
     a.script = silence;
     start_patient({{"s-a", a.address()}}, false, 700);  // the kernel asks for a connection again after 1 s
-    until([&] { return watched_from("41"); });
+    until([&] { return is_watched_from("41"); });
     TestClient& c = client();
     c.send(request("annotate", "id-1"));
     until([&] { return a.requests.size() == 1; });
-    tell(list_json(42, false, {{"s-held", held.address()}}));
-    until([&] { return watched_from("42"); });
+    send_list(list_json(42, false, {{"s-held", held.address()}}));
+    until([&] { return is_watched_from("42"); });
     a.close();  // it may have run; the other server is chosen for the repeat, within the window
-    for (int i = 0; i < 2; ++i) ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-    held.let_go();
+    for (int i = 0; i < 2; ++i) send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+    held.release();
     until([&] { return c.answers.size() == 1 || c.ended; });
     ASSERT_EQ(c.answers.size(), 1u);
     EXPECT_GE(c.answers[0].result_int(), 500u);
-    EXPECT_EQ(held.came, 1u) << "it came up, after the window";
-    EXPECT_EQ(held.in, "");
+    EXPECT_EQ(held.accepted, 1u) << "it came up, after the window";
+    EXPECT_EQ(held.received, "");
 }
 
 // A client's end stands behind bytes of its next request, which are not read while the first waits.
@@ -85,13 +86,13 @@
         a.script = b.script = silence;
         TestClient& c = client();
         c.send(request("listen", "id-1") + std::string(early, 'G'));
-        until([&] { return arrived() == 1; });
+        until([&] { return server_request_count() == 1; });
         c.close();
         ScriptedServer& first = a.requests.empty() ? b : a;
         a.script = b.script = serve;
         first.send(first.connections.size() - 1, response("503 Full", "", "Not-Started: 1\r\n"));
         until([&] { return nothing_out(); });
-        EXPECT_EQ(arrived(), 1u) << early;
+        EXPECT_EQ(server_request_count(), 1u) << early;
         EXPECT_EQ(sidecar->request_count(), 0u);
         EXPECT_EQ(sidecar->gauges().requests, 0u);
     }
@@ -115,7 +116,7 @@
         until([&] { return sidecar->request_count() == 0 && nothing_out(); });
         EXPECT_EQ(sidecar->gauges().requests, 0u);
         a.script = serve;
-        EXPECT_EQ(ask(request("listen", "id-last")).body(), "served");
+        EXPECT_EQ(send_and_wait(request("listen", "id-last")).body(), "served");
     }
 }
 
@@ -129,7 +130,7 @@
         const std::string text =
             config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}}), sockets);
         const std::string deadline = ",\"give-up-ms\":" + std::to_string(longest) + ".0,\"credit\":3.0";
-        sidecar.emplace(io, config::read_config(replaced(text, ",\"credit\":3.0", deadline)));
+        sidecar.emplace(io, config::read_config(replace_first(text, ",\"credit\":3.0", deadline)));
     }
     void drain() {
         sidecar->drain([&] { done = true; });
@@ -198,7 +199,7 @@
     body.send(deposit.substr(0, deposit.size() - 2));
     const std::string whole = request("listen", "id-late", 5000);
     late.send(whole.substr(0, whole.size() - 2));
-    ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+    send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
     const auto began = Steady::now();
     drain();
     until([&] { return resting.ended; });  // nothing new is accepted from here on
@@ -221,7 +222,7 @@
     TestClient& c = client();
     const std::string whole = request("listen", "id-1", 300);
     c.send(whole.substr(0, whole.size() - 2));
-    ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+    send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
     TestClient& resting = client();
     const auto began = Steady::now();
     drain();
@@ -247,7 +248,7 @@
     const std::string deposit = request("deposit", "id-up", 3000, "a body");
     up.send(deposit.substr(0, deposit.size() - 2));
     TestClient& resting = client();
-    ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+    send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
     drain();
     until([&] { return resting.ended; });
     up.send(deposit.substr(deposit.size() - 2));
@@ -269,7 +270,7 @@
     // Nothing is under way while there are no descriptors: a sanitizer's checks of types need some.
     until([&] { return nothing_out(); });
     TestClient& queued = client();
-    std::optional<NoDescriptors> no_descriptors(std::in_place);
+    std::optional<DescriptorExhaustion> no_descriptors(std::in_place);
     queued.send(request("listen", "id-queued"));
     drain();
     const auto over = Steady::now() + std::chrono::milliseconds(700);
@@ -287,9 +288,9 @@
     using Steady = std::chrono::steady_clock;
     std::uint64_t calls() const { return sidecar->metrics().list.calls; }
     void start_asking() { start_asking({{"s-a", a.address()}}); }
-    void start_asking(const std::vector<Listed>& known) {
+    void start_asking(const std::vector<ListedServer>& known) {
         const std::string text = config_json(agent.address(), list_json(41, true, known));
-        sidecar.emplace(io, config::read_config(replaced(text, "\"pushed\"", "\"on_request\"")));
+        sidecar.emplace(io, config::read_config(replace_first(text, "\"pushed\"", "\"on_request\"")));
     }
     // The longest from one call to the next, over as many.
     Steady::duration longest_gap(std::uint64_t most) {
@@ -313,7 +314,7 @@
         };
         until([&] { return sidecar->metrics().list.version == 42; });
         EXPECT_LE(Steady::now() - reachable, within);
-        EXPECT_EQ(ask(request("listen", "id-1")).result_int(), 200u);
+        EXPECT_EQ(send_and_wait(request("listen", "id-1")).result_int(), 200u);
         EXPECT_EQ(a.requests.size(), 0u);
     }
 };
@@ -354,7 +355,7 @@
     int next = 0;
     const auto serve_until = [&](const std::function<bool()>& reached) {
         while (!reached() && !HasFailure())
-            EXPECT_EQ(ask(request("listen", "id-" + std::to_string(next++))).result_int(), 200u);
+            EXPECT_EQ(send_and_wait(request("listen", "id-" + std::to_string(next++))).result_int(), 200u);
     };
     serve_until([&] { return a.requests.size() >= 10 && b.requests.size() >= 10; });
     // Its process ends under a request, and the next one answers at once.
@@ -386,9 +387,9 @@
     const auto bound = Steady::now() + std::chrono::milliseconds(6200);
     bool killed = false;
     a.script = [&](const auto& r) { return std::exchange(killed, true) ? serve(r) : Reply{"", false, true}; };
-    ask(request("listen", "id-killed"));
+    send_and_wait(request("listen", "id-killed"));
     until([&] { return Steady::now() >= bound; });
-    EXPECT_EQ(ask(request("listen", "id-served")).result_int(), 200u);
+    EXPECT_EQ(send_and_wait(request("listen", "id-served")).result_int(), 200u);
 }
 
 // Silent once more right after it was begun anew: the next call comes in time still.
@@ -411,8 +412,8 @@
         ScriptedServer old(io, silence), between(io, silence), moved(io, silence);
         const auto config = [&](const ScriptedServer& at) {
             return config::read_config(
-                replaced(config_json(at.address(), list_json(41, true, {{"s-a", a.address()}})), "\"pushed\"",
-                         "\"on_request\""));
+                replace_first(config_json(at.address(), list_json(41, true, {{"s-a", a.address()}})),
+                              "\"pushed\"", "\"on_request\""));
         };
         sidecar.emplace(io, config(old));
         until([&] { return old.requests.size() == static_cast<std::size_t>(calls_before); });
@@ -424,7 +425,7 @@
         }
         until([&] { return moved.requests.size() == 1; });
         EXPECT_NE(moved.requests[0].target().find("from=41&"), boost::beast::string_view::npos);
-        EXPECT_EQ(ask(request("listen", "id-" + std::to_string(calls_before))).result_int(), 200u);
+        EXPECT_EQ(send_and_wait(request("listen", "id-" + std::to_string(calls_before))).result_int(), 200u);
         EXPECT_EQ(sidecar->metrics().list.version, 41u);
         moved.send(0, response("200 OK", list_json(42, false, {})));
         until([&] { return moved.requests.size() == 2; });
@@ -436,10 +437,10 @@
     start_asking();
     until([&] { return agent.requests.size() == 1 && sidecar->metrics().list.failing; });
     ScriptedServer moved(io, silence);
-    sidecar->reconfigure(config::read_config(
-        replaced(config_json(moved.address(), list_json(41, true, {})), "\"pushed\"", "\"on_request\"")));
+    sidecar->reconfigure(config::read_config(replace_first(
+        config_json(moved.address(), list_json(41, true, {})), "\"pushed\"", "\"on_request\"")));
     until([&] { return moved.requests.size() == 1; });
-    for (int i = 0; i < 3; ++i) ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+    for (int i = 0; i < 3; ++i) send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
     EXPECT_EQ(agent.requests.size(), 1u);
     expect_drain_told(moved, std::chrono::milliseconds(3600));
 }
--- a/tests/deadline_test.cpp
+++ b/tests/deadline_test.cpp
@@ -13,10 +13,10 @@
 
 struct Deadline : NetRig {
     // Connections may come up late.
-    void start_patient(const std::vector<Listed>& known) {
+    void start_patient(const std::vector<ListedServer>& known) {
         const std::string text = config_json(agent.address(), list_json(41, true, known));
-        sidecar.emplace(io, config::read_config(replaced(text, "\"connect-timeout-ms\":150.0",
-                                                         "\"connect-timeout-ms\":5000.0")));
+        sidecar.emplace(io, config::read_config(replace_first(text, "\"connect-timeout-ms\":150.0",
+                                                              "\"connect-timeout-ms\":5000.0")));
     }
     void start_anew_with_silent_a() {
         sidecar.reset();
@@ -39,10 +39,10 @@
         EXPECT_LE(told, timeout - since(sent) + kSlack);
     }
     void expect_late_and_within(HeldServer& held, Millis timeout, Steady::time_point sent) {
-        held.let_go();
-        until([&] { return told(held.in) >= 0; });
+        held.release();
+        until([&] { return told(held.received) >= 0; });
         EXPECT_GT(since(sent), 2 * kSlack) << "its connection came up late";
-        expect_within(told(held.in), timeout, sent);
+        expect_within(told(held.received), timeout, sent);
     }
 };
 
@@ -59,23 +59,23 @@
     HeldServer held(io);
     a.script = silence;
     start_patient({{"s-a", a.address()}});
-    until([&] { return watched_from("41"); });
+    until([&] { return is_watched_from("41"); });
     const auto sent = Steady::now();
     client().send(request("listen", "id-1"));
     until([&] { return a.requests.size() == 1; });
-    tell(list_json(42, false, {{"s-held", held.address()}}));
-    until([&] { return watched_from("42"); });
+    send_list(list_json(42, false, {{"s-held", held.address()}}));
+    until([&] { return is_watched_from("42"); });
     a.send(0, response("503 Full", "", "Not-Started: 1\r\n"));
-    for (int i = 0; i < 2; ++i) ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+    for (int i = 0; i < 2; ++i) send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
     expect_late_and_within(held, 5000, sent);
 }
 
 // What is under a millisecond can't be told.
 TEST_F(Deadline, NothingBeginsWithLessThanAMillisecondLeft) {
     start_with_a();
-    ask(request("listen", "id-warm"));
+    send_and_wait(request("listen", "id-warm"));
     for (int i = 0; i < 20; ++i) {
-        const auto answer = ask(request("listen", "id-" + std::to_string(i), 1));
+        const auto answer = send_and_wait(request("listen", "id-" + std::to_string(i), 1));
         EXPECT_GE(answer.result_int(), 500u);
     }
     EXPECT_EQ(a.requests.size(), 1u);
@@ -86,7 +86,7 @@
     HeldServer held(io);
     start_patient({{"s-held", held.address()}});
     const auto sent = Steady::now();
-    client().send(request("deposit", "id-1", 5000, std::string(net::BodyBuffer::kMost + 2000, 'x')));
+    client().send(request("deposit", "id-1", 5000, std::string(net::BodyBuffer::kMaxCapacity + 2000, 'x')));
     until([&] { return sidecar->request_count() == 1; });
     expect_late_and_within(held, 5000, sent);
 }
@@ -152,11 +152,11 @@
     };
     const std::vector<Way> ways{{"", false}, {"G", false}, {"", true}, {"G", true}};
     static void leave(TestClient& c, const Way& way) { way.reset ? c.reset() : c.close(); }
-    void start_with(const std::vector<Listed>& known, bool may_cancel = true) {
+    void start_with(const std::vector<ListedServer>& known, bool may_cancel = true) {
         std::string text = config_json(agent.address(), list_json(41, true, known));
         // Requests that nobody may have are held for a sixteenth of that.
-        text = replaced(text, "\"on-time-ms\":400.0", "\"on-time-ms\":40000.0");
-        if (!may_cancel) text = replaced(text, "\"may-cancel\":true", "\"may-cancel\":false");
+        text = replace_first(text, "\"on-time-ms\":400.0", "\"on-time-ms\":40000.0");
+        if (!may_cancel) text = replace_first(text, "\"may-cancel\":true", "\"may-cancel\":false");
         sidecar.reset();
         a.requests.clear(), b.requests.clear(), agent.requests.clear();
         a.connections.clear(), b.connections.clear(), agent.connections.clear();
@@ -168,7 +168,7 @@
     }
     // Until the sidecar has read all that has come by now.
     void pass() {
-        for (int i = 0; i < 2; ++i) ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+        for (int i = 0; i < 2; ++i) send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
     }
 };
 
@@ -176,8 +176,8 @@
 TEST_F(Departure, ARequestWithItsClientsEndBehindItIsNotBegun) {
     for (const Way& way : ways) {
         start_with({{"s-a", a.address()}});
-        ask(request("listen", "id-warm"));
-        let_rest(io);
+        send_and_wait(request("listen", "id-warm"));
+        wait_for_connection_reuse(io);
         TestClient& c = client();
         pass();
         c.send(request("listen", "id-1") + way.early);
@@ -192,17 +192,17 @@
 TEST_F(Departure, ARequestThatAListReleasesIsNotBegunAfterItsClientHasLeft) {
     for (const Way& way : ways) {
         start_with({{"s-a", a.address(), "Terminating"}});
-        until([&] { return watched_from("41"); });
+        until([&] { return is_watched_from("41"); });
         TestClient& c = client();
         c.send(request("listen", "id-1") + way.early);
         until([&] { return sidecar->request_count() == 1; });
         pass();
         leave(c, way);
-        tell(list_json(42, false, {{"s-b", b.address()}}));
-        until([&] { return watched_from("42"); });
+        send_list(list_json(42, false, {{"s-b", b.address()}}));
+        until([&] { return is_watched_from("42"); });
         expect_nothing_left();
-        EXPECT_EQ(arrived(), 0u) << way.early << way.reset;
-        EXPECT_EQ(ask(request("listen", "id-2")).result_int(), 200u);
+        EXPECT_EQ(server_request_count(), 0u) << way.early << way.reset;
+        EXPECT_EQ(send_and_wait(request("listen", "id-2")).result_int(), 200u);
     }
 }
 
@@ -213,14 +213,14 @@
         start_with({{"s-a", a.address()}, {"s-b", b.address()}});
         TestClient& c = client();
         c.send(request("listen", "id-1") + way.early);
-        until([&] { return arrived() == 1; });
+        until([&] { return server_request_count() == 1; });
         pass();
         leave(c, way);
         ScriptedServer& first = a.requests.empty() ? b : a;
         first.send(first.connections.size() - 1, response("503 Full", "", "Not-Started: 1\r\n"));
         expect_nothing_left();
         pass();
-        EXPECT_EQ(arrived(), 1u) << way.early << way.reset;
+        EXPECT_EQ(server_request_count(), 1u) << way.early << way.reset;
     }
 }
 
@@ -234,7 +234,7 @@
             all.push_back(&client());
             all.back()->send(request("listen", "id-" + std::to_string(i)) + way.early);
         }
-        until([&] { return arrived() == 100; });
+        until([&] { return server_request_count() == 100; });
         pass();
         for (TestClient* c : all) leave(*c, way);
         for (ScriptedServer* s : {&a, &b})
@@ -242,7 +242,7 @@
                 s->send(i, response("503 Full", "", "Not-Started: 1\r\n"));
         expect_nothing_left();
         pass();
-        EXPECT_EQ(arrived(), 100u) << way.early << way.reset;
+        EXPECT_EQ(server_request_count(), 100u) << way.early << way.reset;
     }
 }
 
@@ -250,7 +250,7 @@
 // withdraw what a server may have begun to work on.
 TEST_F(Departure, AnUploadThatBeganIsNotFinishedAfterItsClientHasLeft) {
     const std::string whole =
-        request("deposit", "id-1", 5000, std::string(net::BodyBuffer::kMost + 2000, 'x'));
+        request("deposit", "id-1", 5000, std::string(net::BodyBuffer::kMaxCapacity + 2000, 'x'));
     for (const bool finished : {false, true}) {  // its last byte comes, right before its client's end
         start_with({{"s-a", a.address()}}, false);
         TestClient& c = client();
@@ -260,7 +260,7 @@
         if (finished) c.send(whole.substr(whole.size() - 10));
         c.close();
         expect_nothing_left();
-        until([&] { return a.ended() == 1; });
+        until([&] { return a.ended_count() == 1; });
         EXPECT_EQ(a.requests.size(), 0u) << finished;
     }
 }
--- a/tests/downstream_listener_failure_test.cpp
+++ b/tests/downstream_listener_failure_test.cpp
@@ -55,9 +55,9 @@
     }
     std::shared_ptr<net::BodyBuffer> stream_to_first(const std::string& body) {
         auto pipe = std::make_shared<net::BodyBuffer>(budget, body.size());
-        EXPECT_GE(pipe->room(), body.size());
-        body.copy(pipe->space(), body.size());
-        pipe->added(body.size());
+        EXPECT_GE(pipe->free_space(), body.size());
+        body.copy(pipe->write_pointer(), body.size());
+        pipe->commit(body.size());
         listener.stream_response(arrivals.at(0).id, DownstreamListener::ResponseHead(http::status::ok, 11),
                                  pipe);
         return pipe;
@@ -74,10 +74,10 @@
 // The loop is held up, and the rest of a request comes right before the timer's handler, which reads it.
 TEST_F(DownstreamListenerFailure, NoMemoryAsTheTimeOfARequestRunsOut_endsItsConnection) {
     const std::string whole = request("listen", "id-1");
-    asio::steady_timer before_it(io, SteadyClock::now() + net::span(kFirstRequest));
+    asio::steady_timer before_it(io, SteadyClock::now() + net::to_duration(kFirstRequest));
     TestClient client(io, listener.address());
     until([&] { return listener.connection_count() == 1; });
-    const auto limit = SteadyClock::now() + net::span(kFirstRequest);
+    const auto limit = SteadyClock::now() + net::to_duration(kFirstRequest);
     client.send(whole.substr(0, 40));
     before_it.async_wait([&](error_code) { client.send(whole.substr(40)); });
     until([&] { return SteadyClock::now() > limit - std::chrono::milliseconds(100); });
@@ -92,7 +92,7 @@
     client.send(request("listen", "id-1") + request("listen", "id-2"));
     until([&] { return arrivals.size() == 1; });
     no_memory = true;
-    stream_to_first("served")->finish();
+    stream_to_first("served")->mark_complete();
     expect_ended(client);
     EXPECT_EQ(client.answers.size(), 1u);
 }
@@ -105,7 +105,7 @@
     const auto pipe = stream_to_first("served");
     until([&] { return pipe->unread().empty(); });
     no_memory = true;
-    EXPECT_THROW(pipe->finish(), std::bad_alloc);
+    EXPECT_THROW(pipe->mark_complete(), std::bad_alloc);
     thrown = 1;
     expect_ended(client);
     EXPECT_EQ(client.answers.size(), 1u);
@@ -124,13 +124,13 @@
         until([&] { return arrivals.size() == 1; });
         faults.fail(SystemCall::receive, 0, 0, at_listener);
         client.send(request("listen", "id-2", kTimeout));
-        until([&] { return faults.made(SystemCall::receive) > 0; });  // the listener's look at it
-        const auto stood = SteadyClock::now() + net::span(kStood);
+        until([&] { return faults.call_count(SystemCall::receive) > 0; });  // the listener's look at it
+        const auto stood = SteadyClock::now() + net::to_duration(kStood);
         until([&] { return SteadyClock::now() > stood; });
         faults.fail(SystemCall::receive, EINTR, times, at_listener);
         listener.respond(arrivals[0].id, DownstreamListener::Response(http::status::ok, 11));
         until([&] { return arrivals.size() == 2; });
-        EXPECT_EQ(faults.failed(SystemCall::receive), times);
+        EXPECT_EQ(faults.failure_count(SystemCall::receive), times);
         EXPECT_LE(arrivals.back().time_left, kTimeout - kStood) << times;
     }
 }
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -18,15 +18,15 @@
 constexpr Millis kKill = kLongest + 700;
 
 std::string short_deadlines(const std::string& config) {
-    return replaced(config, ",\"credit\":3.0",
-                    ",\"give-up-ms\":" + std::to_string(kLongest) + ".0,\"credit\":3.0");
+    return replace_first(config, ",\"credit\":3.0",
+                         ",\"give-up-ms\":" + std::to_string(kLongest) + ".0,\"credit\":3.0");
 }
 
 struct Drain : NetRig {
     bool done = false;
-    void start_short(const std::vector<Listed>& known) {
+    void start_short(const std::vector<ListedServer>& known) {
         std::string text = config_json(agent.address(), list_json(41, true, known));
-        text = replaced(text, "\"connect-timeout-ms\":150.0", "\"connect-timeout-ms\":5000.0");
+        text = replace_first(text, "\"connect-timeout-ms\":150.0", "\"connect-timeout-ms\":5000.0");
         sidecar.emplace(io, config::read_config(short_deadlines(text)));
     }
     void drain() {
@@ -34,7 +34,7 @@
     }
     // Until the sidecar has read all that has come by now.
     void pass() {
-        for (int i = 0; i < 2; ++i) ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+        for (int i = 0; i < 2; ++i) send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
     }
 };
 
@@ -159,14 +159,14 @@
     drain();
     TestClient &c = client(), &upload = client();
     c.send(request("listen", "id-1", 5000));
-    upload.send(request("deposit", "id-2", 5000, std::string(net::BodyBuffer::kMost + 2000, 'x')));
+    upload.send(request("deposit", "id-2", 5000, std::string(net::BodyBuffer::kMaxCapacity + 2000, 'x')));
     until([&] { return c.ended && upload.ended; });
     EXPECT_LE(since(began), kKill);
     EXPECT_EQ(c.answers.size(), 1u);
     EXPECT_EQ(upload.answers.size(), 1u);
-    held.let_go();
+    held.release();
     until([&] { return done; });
-    EXPECT_EQ(held.in, "");
+    EXPECT_EQ(held.received, "");
 }
 
 // The rest of a first request comes in the very turn in which its time is over.
@@ -284,7 +284,7 @@
     begin();
     net::Tcp::socket old(io);
     old.connect(listen);
-    asio::write(old, asio::buffer(replaced(request("listen", "id-1"), "HTTP/1.1", "HTTP/1.0")));
+    asio::write(old, asio::buffer(replace_first(request("listen", "id-1"), "HTTP/1.1", "HTTP/1.0")));
     run_until(io, [&] { return old.available() > 0; });
     std::string in;
     error_code error;
--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -154,7 +154,7 @@
                 c->socket.write_some(asio::buffer(trouble.more), ignored);
             }
     });
-    EXPECT_GE(arrived(), 2u);
+    EXPECT_GE(server_request_count(), 2u);
     expect_no_second();
     a.script = b.script = silence;
     expect_nothing_left();
@@ -260,7 +260,7 @@
         flood.write_some(asio::buffer(many), ignored);
         while (!ignored) flood.read_some(asio::buffer(piece), ignored);
     };
-    until([&] { return push(), arrived() >= 200; });
+    until([&] { return push(), server_request_count() >= 200; });
     for (int i = 0; i < 8; ++i) send(request("deposit", "id-" + std::to_string(i), kTimeout));
     expect_each_in_time(push);
     for (const Asked& each : asked) {
--- a/tests/held_server.hpp
+++ b/tests/held_server.hpp
@@ -26,13 +26,13 @@
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
     // Its queue is emptied, and whoever comes from now on is taken and read from.
-    void let_go() {
+    void release() {
         for (net::Tcp::socket& s : filling_) ports_.push_back(port_of(s));
         accept();
     }
     // What came on connections that are not its own.
-    std::string in;
-    std::size_t came = 0, ended = 0;
+    std::string received;
+    std::size_t accepted = 0, ended = 0;
 
 private:
     static std::uint16_t port_of(const net::Tcp::socket& socket) {
@@ -45,7 +45,7 @@
             error_code gone;
             const auto from = socket.remote_endpoint(gone).port();
             if (std::find(ports_.begin(), ports_.end(), from) == ports_.end()) {
-                ++came;
+                ++accepted;
                 taken_.emplace_back(std::move(socket));
                 read(taken_.back());
             }
@@ -56,7 +56,7 @@
         socket.async_read_some(asio::buffer(piece_), [this, &socket](error_code failed, std::size_t count) {
             if (failed == asio::error::operation_aborted) return;
             if (failed) return void(++ended);
-            in.append(piece_.data(), count);
+            received.append(piece_.data(), count);
             error_code ignored;
             asio::write(socket, asio::buffer(response("200 OK", "held")), ignored);
             read(socket);
--- a/tests/lab_rig.hpp
+++ b/tests/lab_rig.hpp
@@ -33,14 +33,15 @@
         return *lab;
     }
     // Waits for the end of a request while the lab goes on.
-    Clients::Result result(std::future<Clients::Result>& asked) {
+    Clients::Result wait_for_result(std::future<Clients::Result>& asked) {
         EXPECT_TRUE(lab->until(
             [&] { return asked.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }, 20000));
         return asked.get();
     }
-    Clients::Result ask(std::size_t sidecar, std::size_t class_index = 0, const std::string& key = "") {
+    Clients::Result send_and_wait(std::size_t sidecar, std::size_t class_index = 0,
+                                  const std::string& key = "") {
         auto asked = lab->clients().ask(lab->scenario().sidecar_name(sidecar), class_index, key);
-        return result(asked);
+        return wait_for_result(asked);
     }
 };
 
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -202,7 +202,7 @@
     away.turn_away_share = 1;
     lab->server(0).set(away);
     for (int i = 0; i < 6; ++i) {
-        const auto r = ask(0, 2);
+        const auto r = send_and_wait(0, 2);
         EXPECT_EQ(r.end, End::served);
         EXPECT_EQ(r.server, "s2");
     }
@@ -211,7 +211,7 @@
     broken.reset_share = 1;
     lab->server(0).set(broken);
     lab->server(1).set(broken);
-    const auto r = ask(0, 2);
+    const auto r = send_and_wait(0, 2);
     EXPECT_NE(r.end, End::served);
     EXPECT_EQ(lab->ledger().attempts_of(r.id), 1u);  // it may have run
     EXPECT_EQ(lab->ledger().once_repeated(), 0u);
@@ -226,17 +226,17 @@
     ASSERT_TRUE(lab->until([&] { return arrived() == 9; }));
     lab->signal(0, SIGKILL);
     for (auto& one : asked) {
-        const auto r = result(one);  // each future is set once, or throws
+        const auto r = wait_for_result(one);  // each future is set once, or throws
         EXPECT_EQ(r.end, End::lost);
         EXPECT_EQ(lab->ledger().attempts_of(r.id), 1u);
     }
     ASSERT_TRUE(lab->until([&] { return !lab->child(0)->running(); }));
-    EXPECT_EQ(ask(1).end, End::served);  // the other one is not touched
+    EXPECT_EQ(send_and_wait(1).end, End::served);  // the other one is not touched
     const auto before = lab->last_event(0, "sidecar.listening");
     lab->restart(0);
     ASSERT_TRUE(lab->until([&] { return lab->events(0, "sidecar.listening") == 2; }));
     EXPECT_EQ(lab->last_event(0, "sidecar.listening")["listen"], before["listen"]);
-    for (std::size_t kind = 0; kind < 3; ++kind) EXPECT_EQ(ask(0, kind).end, End::served);
+    for (std::size_t kind = 0; kind < 3; ++kind) EXPECT_EQ(send_and_wait(0, kind).end, End::served);
     EXPECT_EQ(lab->ledger().once_repeated(), 0u);
     EXPECT_FALSE(lab->report().sidecars[0].ended_badly);  // the lab killed it
 }
@@ -313,17 +313,17 @@
     }
     EXPECT_EQ(report.once_repeated, 0u);
     // Afterwards the servers that were cut off are found again.
-    EXPECT_TRUE(lab->until([&] { return ask(0).zone == "b"; }, 20000));
+    EXPECT_TRUE(lab->until([&] { return send_and_wait(0).zone == "b"; }, 20000));
 }
 
 TEST_F(LabRig, AStoppedSidecarHoldsItsClientsAndGoesOnWhenContinued) {
     start("[sidecars]\ncount = 2\n[servers]\ncount = 2\n");
     lab->signal(0, SIGSTOP);
     auto held = lab->clients().ask("n1", 0);
-    EXPECT_EQ(ask(1).end, End::served);
+    EXPECT_EQ(send_and_wait(1).end, End::served);
     EXPECT_NE(held.wait_for(std::chrono::seconds(0)), std::future_status::ready);
     lab->signal(0, SIGCONT);
-    EXPECT_EQ(result(held).end, End::served);
+    EXPECT_EQ(wait_for_result(held).end, End::served);
 }
 
 TEST_F(LabRig, EverySidecarSendsAKeyToTheSameServerAndALostServerMovesItsOwnKeysOnly) {
@@ -339,9 +339,9 @@
     std::vector<std::string> home;
     std::set<std::string> used;
     for (int i = 0; i < 24; ++i) {
-        home.push_back(ask(0, 0, key(i)).server);
+        home.push_back(send_and_wait(0, 0, key(i)).server);
         used.insert(home.back());
-        for (std::size_t other : {1, 2}) EXPECT_EQ(ask(other, 0, key(i)).server, home.back()) << i;
+        for (std::size_t other : {1, 2}) EXPECT_EQ(send_and_wait(other, 0, key(i)).server, home.back()) << i;
     }
     EXPECT_GE(used.size(), 4u);
     lab->discovery().set_state({home[0]}, "Terminating");
@@ -349,7 +349,7 @@
         ASSERT_TRUE(lab->until([&] { return lab->metrics(i).value("scan_servers_excluded", 0) == 1; }));
     for (int i = 0; i < 24; ++i)
         for (std::size_t sidecar : {0, 1, 2}) {
-            const auto r = ask(sidecar, 0, key(i));
+            const auto r = send_and_wait(sidecar, 0, key(i));
             EXPECT_EQ(r.end, End::served);
             EXPECT_EQ(r.server == home[static_cast<std::size_t>(i)],
                       home[static_cast<std::size_t>(i)] != home[0])
--- a/tests/log_output_test.cpp
+++ b/tests/log_output_test.cpp
@@ -26,13 +26,13 @@
     SystemCallFaults faults;
     faults.fail(SystemCall::poll, EINTR, 1);
     {
-        const NoDescriptors none;
+        const DescriptorExhaustion none;
         net::log(spdlog::level::warn, "test.line");
     }
     std::array<char, 256> piece{};
     const ssize_t size = ::read(ends[0], piece.data(), piece.size());
     const std::string_view text(piece.data(), size > 0 ? static_cast<std::size_t>(size) : 0);
-    return faults.failed(SystemCall::poll) == 1 && text.find("test.line") != std::string_view::npos;
+    return faults.failure_count(SystemCall::poll) == 1 && text.find("test.line") != std::string_view::npos;
 }
 
 // In a process of its own, where nothing has been logged before. Not in a sanitized build: without
--- a/tests/net_rig.hpp
+++ b/tests/net_rig.hpp
@@ -34,30 +34,30 @@
 }
 
 // Until a connection that fell idle before may be used again.
-inline void let_rest(asio::io_context& io) {
+inline void wait_for_connection_reuse(asio::io_context& io) {
     const auto rested = std::chrono::steady_clock::now() + std::chrono::milliseconds(11);
     run_until(io, [&] { return std::chrono::steady_clock::now() > rested; });
 }
 
 // While it lives, this process may open no further descriptor.
-class NoDescriptors {
+class DescriptorExhaustion {
 public:
-    NoDescriptors() {
+    DescriptorExhaustion() {
         getrlimit(RLIMIT_NOFILE, &before_);
         rlimit low = before_;
         low.rlim_cur = 3;
         setrlimit(RLIMIT_NOFILE, &low);
     }
-    ~NoDescriptors() { setrlimit(RLIMIT_NOFILE, &before_); }
-    NoDescriptors(const NoDescriptors&) = delete;
-    NoDescriptors& operator=(const NoDescriptors&) = delete;
+    ~DescriptorExhaustion() { setrlimit(RLIMIT_NOFILE, &before_); }
+    DescriptorExhaustion(const DescriptorExhaustion&) = delete;
+    DescriptorExhaustion& operator=(const DescriptorExhaustion&) = delete;
 
 private:
     rlimit before_{};
 };
 
 // The text with its first such part changed.
-inline std::string replaced(std::string text, const std::string& what, const std::string& by) {
+inline std::string replace_first(std::string text, const std::string& what, const std::string& by) {
     const auto at = text.find(what);
     EXPECT_NE(at, std::string::npos) << what;
     return text.replace(at, what.size(), by);
@@ -104,7 +104,7 @@
         acceptor_.close(ignored);
         for (auto& c : connections) c->socket.close(ignored);
     }
-    std::size_t ended() const {
+    std::size_t ended_count() const {
         std::size_t count = 0;
         for (const auto& c : connections) count += c->ended;
         return count;
@@ -205,11 +205,11 @@
            (name == "listen" ? "" : "\r\nContent-Length: " + std::to_string(body.size())) + "\r\n\r\n" + body;
 }
 
-struct Listed {
+struct ListedServer {
     std::string id, address;
     std::string state = "Ready";
 };
-inline std::string list_json(int version, bool full, const std::vector<Listed>& servers) {
+inline std::string list_json(int version, bool full, const std::vector<ListedServer>& servers) {
     std::string text = "{\"version\":" + std::to_string(version) + ",\"full\":" + (full ? "true" : "false") +
                        ",\"servers\":[";
     for (std::size_t i = 0; i < servers.size(); ++i)
@@ -248,12 +248,12 @@
         clients.clear();
         io.stop();
     }
-    void start(std::vector<Listed> known = {}, const std::string& sockets = "1024") {
+    void start(std::vector<ListedServer> known = {}, const std::string& sockets = "1024") {
         if (known.empty()) known = {{"s-a", a.address()}, {"s-b", b.address()}};
         sidecar.emplace(
             io, config::read_config(config_json(agent.address(), list_json(41, true, known), sockets)));
     }
-    void start_with_operators(const std::vector<Listed>& known, const std::string& sockets = "1024") {
+    void start_with_operators(const std::vector<ListedServer>& known, const std::string& sockets = "1024") {
         config::Config config =
             config::read_config(config_json(agent.address(), list_json(41, true, known), sockets));
         config.operators = any_port;
@@ -263,15 +263,17 @@
     TestClient& client() { return clients.emplace_back(io, sidecar->address()); }
     void until(const std::function<bool()>& reached) { run_until(io, reached); }
     // Sends one request and waits for its answer.
-    TestClient::Answer ask(const std::string& bytes) {
+    TestClient::Answer send_and_wait(const std::string& bytes) {
         TestClient& c = client();
         c.send(bytes);
         until([&] { return !c.answers.empty() || c.ended; });
         return c.answers.empty() ? TestClient::Answer{} : c.answers.front();
     }
-    std::size_t arrived() const { return a.requests.size() + b.requests.size(); }
-    void tell(const std::string& list) { agent.send(agent.connections.size() - 1, response("200 OK", list)); }
-    bool watched_from(const std::string& version) const {
+    std::size_t server_request_count() const { return a.requests.size() + b.requests.size(); }
+    void send_list(const std::string& list) {
+        agent.send(agent.connections.size() - 1, response("200 OK", list));
+    }
+    bool is_watched_from(const std::string& version) const {
         return !agent.requests.empty() && agent.requests.back().target().find("from=" + version + "&") !=
                                               boost::beast::string_view::npos;
     }
--- a/tests/operator_test.cpp
+++ b/tests/operator_test.cpp
@@ -54,12 +54,12 @@
 
 TEST_F(Operators, SeeHowOldTheListIs) {
     start_both();
-    until([&] { return watched_from("41"); });
+    until([&] { return is_watched_from("41"); });
     Json list = figures()["list"];
     EXPECT_TRUE(list["age_ms"].is_null()) << "only the saved one is held";
     EXPECT_EQ(list["calls"], 1);
-    tell(list_json(42, false, {}));
-    until([&] { return watched_from("42"); });
+    send_list(list_json(42, false, {}));
+    until([&] { return is_watched_from("42"); });
     list = figures()["list"];
     EXPECT_EQ(list["version"], 42);
     EXPECT_EQ(list["calls"], 2);
@@ -87,9 +87,9 @@
 TEST_F(Operators, NotReadyWithoutAListNorWhileItDrains) {
     start_with_operators({{"s-a", a.address(), "Gone"}});
     EXPECT_EQ(get("/ready").result_int(), 503u);
-    until([&] { return watched_from("41"); });
-    tell(list_json(42, false, {{"s-a", a.address()}}));
-    until([&] { return watched_from("42"); });
+    until([&] { return is_watched_from("41"); });
+    send_list(list_json(42, false, {{"s-a", a.address()}}));
+    until([&] { return is_watched_from("42"); });
     EXPECT_EQ(get("/ready").result_int(), 200u);
     a.script = silence;
     TestClient& held = client();
@@ -134,23 +134,23 @@
         a.script = b.script = [reply](const auto&) { return reply; };
     };
     always({response("200 OK", "served")});
-    EXPECT_EQ(ask(request("listen", "1")).result_int(), 200u);
+    EXPECT_EQ(send_and_wait(request("listen", "1")).result_int(), 200u);
     first_then(turned_away);  // a retry: two attempts
-    EXPECT_EQ(ask(request("deposit", "2")).result_int(), 200u);
+    EXPECT_EQ(send_and_wait(request("deposit", "2")).result_int(), 200u);
     first_then({"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true});  // broken, tried anew
-    EXPECT_EQ(ask(request("listen", "3")).result_int(), 200u);
+    EXPECT_EQ(send_and_wait(request("listen", "3")).result_int(), 200u);
     always({response("500 Oops")});
-    EXPECT_EQ(ask(request("deposit", "4")).result_int(), 502u);
+    EXPECT_EQ(send_and_wait(request("deposit", "4")).result_int(), 502u);
     always({response("404 Who")});
-    EXPECT_EQ(ask(request("listen", "5")).result_int(), 404u);
+    EXPECT_EQ(send_and_wait(request("listen", "5")).result_int(), 404u);
     always({"", true});
-    EXPECT_EQ(ask(request("deposit", "6")).result_int(), 502u);
-    const std::size_t before = arrived();
+    EXPECT_EQ(send_and_wait(request("deposit", "6")).result_int(), 502u);
+    const std::size_t before = server_request_count();
     EXPECT_EQ(before, 8u);
     always(turned_away);
-    EXPECT_EQ(ask(request("annotate", "7")).result_int(), 503u);
+    EXPECT_EQ(send_and_wait(request("annotate", "7")).result_int(), 503u);
     always({});
-    EXPECT_EQ(ask(request("deposit", "8", 60)).result_int(), 504u);
+    EXPECT_EQ(send_and_wait(request("deposit", "8", 60)).result_int(), 504u);
     TestClient& leaver = client();  // gives up on its own
     leaver.send(request("listen", "9"));
     until([&] { return figures()["in_flight"] == 1; });
@@ -163,16 +163,17 @@
     EXPECT_EQ(sum(all, "refused", "annotate"), 1);
     EXPECT_EQ(sum(all, "failed"), 5);
     EXPECT_EQ(sum(all, "failed", "deposit"), 3);
-    EXPECT_EQ(all["attempts"], arrived());
+    EXPECT_EQ(all["attempts"], server_request_count());
 }
 
 TEST_F(Operators, WhoIsNoClientCountsNothing) {
     start_both();
-    EXPECT_EQ(ask("nonsense\r\n\r\n").result_int(), 400u);
-    EXPECT_EQ(ask(request("bequest", "1")).result_int(), 404u);
-    EXPECT_EQ(ask("PUT /listen HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 9\r\n\r\n").result_int(),
-              400u);
-    EXPECT_EQ(ask("GET /_health HTTP/1.1\r\n\r\n").result_int(), 200u);
+    EXPECT_EQ(send_and_wait("nonsense\r\n\r\n").result_int(), 400u);
+    EXPECT_EQ(send_and_wait(request("bequest", "1")).result_int(), 404u);
+    EXPECT_EQ(
+        send_and_wait("PUT /listen HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout-Ms: 9\r\n\r\n").result_int(),
+        400u);
+    EXPECT_EQ(send_and_wait("GET /_health HTTP/1.1\r\n\r\n").result_int(), 200u);
     const Json all = figures();
     EXPECT_EQ(sum(all, "served") + sum(all, "refused") + sum(all, "failed"), 0);
     EXPECT_EQ(all["in_flight"], 0);
@@ -193,13 +194,13 @@
             return std::all_of(batch.begin(), batch.end(), [](auto* c) { return !c->answers.empty(); });
         });
     }
-    until([&] { return watched_from("41"); });
-    tell(list_json(42, false, {{"s-b", b.address(), "Gone"}}));
-    until([&] { return watched_from("42"); });
+    until([&] { return is_watched_from("41"); });
+    send_list(list_json(42, false, {{"s-b", b.address(), "Gone"}}));
+    until([&] { return is_watched_from("42"); });
     EXPECT_EQ(figures()["scan_servers_known"], 1);
     EXPECT_EQ(figures()["scan_servers_excluded"], 0);
-    tell(list_json(43, false, {{"s-a", a.address(), "Terminating"}}));
-    until([&] { return watched_from("43"); });
+    send_list(list_json(43, false, {{"s-a", a.address(), "Terminating"}}));
+    until([&] { return is_watched_from("43"); });
     EXPECT_EQ(figures()["scan_servers_known"], 1);
     EXPECT_EQ(figures()["scan_servers_excluded"], 1);
 }
--- a/tests/program_rig.hpp
+++ b/tests/program_rig.hpp
@@ -21,7 +21,7 @@
 struct Program : testing::Test {
     std::filesystem::path folder =
         std::filesystem::temp_directory_path() / ("whinledge-test-" + std::to_string(::getpid()));
-    std::filesystem::path temporary = folder;  // the program's $TMPDIR
+    std::filesystem::path temporary_folder = folder;  // the program's $TMPDIR
     Program() { std::filesystem::create_directories(folder); }
     ~Program() override { std::filesystem::remove_all(folder); }
 
@@ -49,14 +49,14 @@
         if (child < 0) throw std::system_error(errno, std::generic_category(), "fork");
         if (child != 0) return child;
         ::setenv("LB_CONFIG", (folder / "config.json").c_str(), 1);
-        ::setenv("TMPDIR", temporary.c_str(), 1);
+        ::setenv("TMPDIR", temporary_folder.c_str(), 1);
         if (!set_up()) ::_exit(126);
         for (int file = 3; file < 1024; ++file) ::close(file);  // the test's connections are its own
         ::execl(mothring::test::program_path(), mothring::test::program_path(), static_cast<char*>(nullptr));
         ::_exit(127);
     }
     // How often that event is in that log.
-    std::size_t logged(const std::string& log, const std::string& event) const {
+    std::size_t count_logged(const std::string& log, const std::string& event) const {
         std::ifstream lines(folder / log);
         std::size_t count = 0;
         for (std::string line; std::getline(lines, line);)
@@ -64,10 +64,10 @@
         return count;
     }
     // Runs `mothring check-config FILE` on a TOML text; its exit status.
-    int check(const std::string& toml) {
+    int check_config(const std::string& toml) {
         std::ofstream(folder / "sidecar.toml") << toml;
         const pid_t child = ::fork();
-        if (child != 0) return status_of(child);
+        if (child != 0) return exit_status_of(child);
         ::unsetenv("LB_CONFIG");
         if (!std::freopen((folder / "log").c_str(), "w", stderr)) ::_exit(126);
         if (!std::freopen("/dev/null", "w", stdout)) ::_exit(126);
@@ -75,7 +75,7 @@
                 (folder / "sidecar.toml").c_str(), static_cast<char*>(nullptr));
         ::_exit(127);
     }
-    static int status_of(pid_t child) {
+    static int exit_status_of(pid_t child) {
         int status = 0;
         ::waitpid(child, &status, 0);
         return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -38,14 +38,14 @@
 
 TEST(Configuration, NamesTheKeyThatIsWrong) {
     const std::vector<std::pair<std::string, std::string>> cases{
-        {replaced(good, "\"seed\":\"8c", "\"seed\":\"xy"), "seed"},
-        {replaced(good, "\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen"},
-        {replaced(good, "\"listen\"", "\"unlisten\""), "listen"},
-        {replaced(good, "\"name\":\"n1\"", "\"name\":7"), "name"},
-        {replaced(good, "\"known\"", "\"unknown\""), "known"},
-        {replaced(good, "\"effect\":\"once\"", "\"effect\":\"twice\""), "classes.1.effect"},
-        {replaced(good, "\"on-time-ms\":300.0", "\"on-time-ms\":\"soon\""), "classes.1.on-time-ms"},
-        {replaced(good, "\"settings\"", "\"unsettled\""), "settings"}};
+        {replace_first(good, "\"seed\":\"8c", "\"seed\":\"xy"), "seed"},
+        {replace_first(good, "\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen"},
+        {replace_first(good, "\"listen\"", "\"unlisten\""), "listen"},
+        {replace_first(good, "\"name\":\"n1\"", "\"name\":7"), "name"},
+        {replace_first(good, "\"known\"", "\"unknown\""), "known"},
+        {replace_first(good, "\"effect\":\"once\"", "\"effect\":\"twice\""), "classes.1.effect"},
+        {replace_first(good, "\"on-time-ms\":300.0", "\"on-time-ms\":\"soon\""), "classes.1.on-time-ms"},
+        {replace_first(good, "\"settings\"", "\"unsettled\""), "settings"}};
     for (const auto& [text, key] : cases) try {
             config::read_config(text);
             FAIL() << "taken: " << key;
@@ -87,7 +87,7 @@
 }
 
 TEST_F(Program, EndsWithOneLineWhenItsConfigurationIsWrong) {
-    EXPECT_EQ(status_of(start(replaced(good, "\"seed\"", "\"unseeded\""))), 1);
+    EXPECT_EQ(exit_status_of(start(replace_first(good, "\"seed\"", "\"unseeded\""))), 1);
     std::ifstream log(folder / "log");
     std::string line, more;
     std::getline(log, line);
@@ -96,12 +96,12 @@
 }
 
 TEST_F(Program, ChecksAConfigurationWithExitTwoNamingTheKey) {
-    EXPECT_EQ(check("[sidecar]\noperator = 5\n"), 2);
+    EXPECT_EQ(check_config("[sidecar]\noperator = 5\n"), 2);
     std::ifstream log(folder / "log");
     std::string line;
     std::getline(log, line);
     EXPECT_NE(line.find("sidecar.toml:2: 'sidecar.operator' expects a string"), std::string::npos) << line;
-    EXPECT_EQ(check("[log]\nlevel = \"warn\"\n"), 0);
+    EXPECT_EQ(check_config("[log]\nlevel = \"warn\"\n"), 0);
 }
 
 // Two processes of one sidecar, beside clients that ask without a pause.
@@ -126,9 +126,9 @@
             return "127.0.0.1:" + std::to_string(at.port());
         };
         children.push_back(
-            start(replaced(config_json(agent.address(), list_json(1, true, {{"s-a", server.address()}}),
-                                       "1024", text(listen)),
-                           "\"future\":[1]", "\"operator\":\"" + text(operators) + "\""),
+            start(replace_first(config_json(agent.address(), list_json(1, true, {{"s-a", server.address()}}),
+                                            "1024", text(listen)),
+                                "\"future\":[1]", "\"operator\":\"" + text(operators) + "\""),
                   log));
         Process process{children.size() - 1, operators};
         run_until(io, [&] { return status(process, "/ready") == 200; });
@@ -233,21 +233,24 @@
 // The folder for the lock is missing when both start: neither may take the whole of the limits, nor may
 // either once the folder is there and they see each other.
 TEST_F(Upgrade, ProcessesThatCannotHaveTheirLockTakeHalfUntilOneIsAlone) {
-    temporary = folder / "later";
+    temporary_folder = folder / "later";
     const Process first = begin("first"), second = begin("second");
     run_until(io, [&] {
-        return logged("first", "hot_restart.unknown") == 1 && logged("second", "hot_restart.unknown") == 1;
+        return count_logged("first", "hot_restart.unknown") == 1 &&
+               count_logged("second", "hot_restart.unknown") == 1;
     });
     serve(50);
-    std::filesystem::create_directory(temporary);
+    std::filesystem::create_directory(temporary_folder);
     run_until(io, [&] {
-        return logged("first", "hot_restart.shared") == 1 && logged("second", "hot_restart.shared") == 1;
+        return count_logged("first", "hot_restart.shared") == 1 &&
+               count_logged("second", "hot_restart.shared") == 1;
     });
-    EXPECT_EQ(logged("first", "hot_restart.alone") + logged("second", "hot_restart.alone"), 0u);
-    EXPECT_EQ(logged("first", "hot_restart.unknown") + logged("second", "hot_restart.unknown"), 2u)
+    EXPECT_EQ(count_logged("first", "hot_restart.alone") + count_logged("second", "hot_restart.alone"), 0u);
+    EXPECT_EQ(count_logged("first", "hot_restart.unknown") + count_logged("second", "hot_restart.unknown"),
+              2u)
         << "a line for each change, not for each look";
     end(first, SIGTERM);
-    run_until(io, [&] { return turn(), logged("second", "hot_restart.alone") == 1; });
+    run_until(io, [&] { return turn(), count_logged("second", "hot_restart.alone") == 1; });
     serve(50);
     expect_nothing_lost();
     EXPECT_EQ(status(second, "/ready"), 200u);
@@ -259,7 +262,7 @@
     const net::Tcp::endpoint discovery = agent.endpoint(), operators = free_address();
     agent.close();
     const auto text = [](const net::Tcp::endpoint& at) { return "127.0.0.1:" + std::to_string(at.port()); };
-    children.push_back(start(replaced(
+    children.push_back(start(replace_first(
         config_json(text(discovery), list_json(1, true, {{"s-a", server.address()}}), "256", text(listen)),
         "\"future\":[1]", "\"operator\":\"" + text(operators) + "\"")));
     const Process process{0, operators};
@@ -293,12 +296,12 @@
                                            "1024", "127.0.0.1:" + std::to_string(listen.port()));
     children.push_back(start(config));
     run_until(io, [&] { return !agent.requests.empty(); });
-    EXPECT_EQ(status_of(start(config)), 1);
+    EXPECT_EQ(exit_status_of(start(config)), 1);
 }
 
 TEST_F(Upgrade, AnOperatorAddressThatCannotBeHadIsSaidAtTheStart) {
     net::Tcp::acceptor taken(io, any_port);
-    EXPECT_EQ(status_of(start(replaced(
+    EXPECT_EQ(exit_status_of(start(replace_first(
                   good, "\"future\":[1]",
                   "\"operator\":\"127.0.0.1:" + std::to_string(taken.local_endpoint().port()) + "\""))),
               1);
@@ -306,7 +309,7 @@
     std::string line;
     std::getline(log, line);
     EXPECT_NE(line.find("'operator'"), std::string::npos) << line;
-    EXPECT_EQ(status_of(start(replaced(good, "\"future\":[1]", "\"operator\":\"there\""))), 1);
+    EXPECT_EQ(exit_status_of(start(replace_first(good, "\"future\":[1]", "\"operator\":\"there\""))), 1);
 }
 
 TEST_F(Program, FinishesItsWorkOnSigtermAndExitsWithZero) {
@@ -345,7 +348,7 @@
     run_until(io, [&] { return client->ended; });
     ASSERT_EQ(client->answers.size(), 1u);
     EXPECT_EQ(client->answers[0].body(), "held");
-    EXPECT_EQ(status_of(child), 0);
+    EXPECT_EQ(exit_status_of(child), 0);
 }
 
 // Lets a child that has asked to be traced run until it has begun to listen; false: it has not, and has
@@ -546,9 +549,9 @@
     }
     std::ofstream(folder / "config.json") << config(second);
     ::kill(child, SIGHUP);
-    run_until(io, [&] { return second.requests.size() == 1 && first.ended() == 1; });
+    run_until(io, [&] { return second.requests.size() == 1 && first.ended_count() == 1; });
     ::kill(child, SIGTERM);
-    EXPECT_EQ(status_of(child), 0);
+    EXPECT_EQ(exit_status_of(child), 0);
 }
 
 // One new configuration after another, every third one written by half when it is told of, while requests go
@@ -573,7 +576,7 @@
         ASSERT_EQ(client.answers.size(), answers);
         EXPECT_EQ(client.answers.back().result_int(), 200u);
     };
-    const auto open_to = [](const ScriptedServer& s) { return s.connections.size() - s.ended(); };
+    const auto open_to = [](const ScriptedServer& s) { return s.connections.size() - s.ended_count(); };
     const auto other_descriptors = [&] {
         const std::filesystem::directory_iterator all("/proc/" + std::to_string(child) + "/fd"), end;
         return static_cast<std::size_t>(std::distance(all, end)) - open_to(server);
@@ -590,7 +593,7 @@
     run_until(io,
               [&] { return open_to(second) == 1 && open_to(first) == 0 && other_descriptors() == before; });
     ::kill(child, SIGTERM);
-    EXPECT_EQ(status_of(child), 0);
+    EXPECT_EQ(exit_status_of(child), 0);
 }
 
 }  // namespace
--- a/tests/recorded_conversation_rig.hpp
+++ b/tests/recorded_conversation_rig.hpp
@@ -33,7 +33,7 @@
 }
 
 /// Replaces the number in each header that states what is left of a request's time.
-inline std::string with_marks(std::string bytes) {
+inline std::string mask_varying_values(std::string bytes) {
     const std::string header = "Request-Timeout-Ms: ";
     for (std::size_t at = bytes.find(header); at != std::string::npos; at = bytes.find(header, at)) {
         at += header.size();
@@ -46,7 +46,7 @@
 
 /// The body of a chunked message that begins at `at`, whatever the sizes of its chunks.
 /// @return empty where the chunks are not complete.
-inline std::string decoded_chunks(const std::string& bytes, std::size_t at) {
+inline std::string decode_chunks(const std::string& bytes, std::size_t at) {
     constexpr int kHexadecimal = 16;
     constexpr std::size_t kLineEnd = 2;
     std::string body;
@@ -105,7 +105,7 @@
     std::string received() const {
         std::string all;
         for (const std::string& request : requests_) all += request;
-        return with_marks(all);
+        return mask_varying_values(all);
     }
     std::size_t complete_count() const { return complete_; }
     std::size_t ended_count() const { return ended_; }
@@ -150,7 +150,7 @@
             if (!connection.parser) {
                 connection.parser.emplace();
                 connection.parser->eager(true);
-                connection.parser->body_limit(net::kLargestBody);
+                connection.parser->body_limit(net::kMaxForwardedBodyBytes);
                 connection.request = requests_.size();
                 requests_.emplace_back();
             }
@@ -213,7 +213,7 @@
     std::string finish(RecordingClient& client) {
         if (!client.ended) client.send(health_check);
         until([&] { return client.ended || client.received.ends_with(healthy); });
-        return with_marks(client.received);
+        return mask_varying_values(client.received);
     }
     /// What a client receives that sends these bytes at once.
     std::string answer_to(const std::string& bytes) {
@@ -223,11 +223,11 @@
         return finish(client);
     }
     /// The same for bytes that end the connection.
-    std::string last_answer_to(const std::string& bytes) {
+    std::string answer_until_closed(const std::string& bytes) {
         RecordingClient& client = connect();
         client.send(bytes);
         until([&] { return client.ended; });
-        return with_marks(client.received);
+        return mask_varying_values(client.received);
     }
 };
 
--- a/tests/recorded_conversation_test.cpp
+++ b/tests/recorded_conversation_test.cpp
@@ -20,7 +20,7 @@
 
 TEST_F(RecordedConversation, AbsoluteFormOfTheTarget) {
     start_recording({{response("200 OK", "a song")}});
-    EXPECT_EQ(answer_to(replaced(get, "GET /", "GET http://app.svc/") + "\r\n"),
+    EXPECT_EQ(answer_to(replace_first(get, "GET /", "GET http://app.svc/") + "\r\n"),
               "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\na song" + healthy);
     EXPECT_EQ(server.received(),
               "GET /listen/item?part=2 HTTP/1.1\r\nRequest-Id: id-1\r\nRequest-Class: listen\r\n"
@@ -38,8 +38,9 @@
 
 TEST_F(RecordedConversation, PostWithAKeyAndWithoutABody) {
     start_recording({{response("200 OK", "filed")}});
-    EXPECT_EQ(answer_to(replaced(annotate, "Content-Length: 4\r\n\r\nnote", "Content-Length: 0\r\n\r\n")),
-              "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfiled" + healthy);
+    EXPECT_EQ(
+        answer_to(replace_first(annotate, "Content-Length: 4\r\n\r\nnote", "Content-Length: 0\r\n\r\n")),
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfiled" + healthy);
     EXPECT_EQ(server.received(),
               "POST /annotate HTTP/1.1\r\nRequest-Id: id-1\r\nIdempotency-Key: key-1\r\n"
               "Host: app.svc\r\nRequest-Timeout-Ms: <varies>\r\nContent-Length: 0\r\n\r\n");
@@ -83,7 +84,7 @@
     start_recording(
         {{response("200 OK", "first")}, {response("200 OK", "second")}, {response("200 OK", "third")}});
     EXPECT_EQ(answer_to(get + "\r\n" + post + "Content-Length: 2\r\n\r\nhi\r\n\r\n" +
-                        replaced(get, "id-1", "id-3") + "\r\n"),
+                        replace_first(get, "id-1", "id-3") + "\r\n"),
               "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirstHTTP/1.1 200 OK\r\n"
               "Content-Length: 6\r\n\r\nsecondHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nthird" +
                   healthy);
@@ -108,7 +109,7 @@
 
 TEST_F(RecordedConversation, ConnectionClose) {
     start_recording({{response("200 OK", "a song")}});
-    EXPECT_EQ(last_answer_to(get + "Connection: close\r\n\r\n" + get + "\r\n"),
+    EXPECT_EQ(answer_until_closed(get + "Connection: close\r\n\r\n" + get + "\r\n"),
               "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\na song<closed>");
     EXPECT_EQ(server.received(),
               "GET /listen/item?part=2 HTTP/1.1\r\nRequest-Id: id-1\r\nRequest-Class: listen\r\n"
@@ -117,7 +118,7 @@
 
 TEST_F(RecordedConversation, Http10) {
     start_recording({{response("200 OK", "a song")}});
-    EXPECT_EQ(last_answer_to(replaced(get, "HTTP/1.1", "HTTP/1.0") + "\r\n"),
+    EXPECT_EQ(answer_until_closed(replace_first(get, "HTTP/1.1", "HTTP/1.0") + "\r\n"),
               "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\na song<closed>");
     EXPECT_EQ(server.received(),
               "GET /listen/item?part=2 HTTP/1.1\r\nRequest-Id: id-1\r\nRequest-Class: listen\r\n"
@@ -126,7 +127,7 @@
 
 TEST_F(RecordedConversation, Http10KeptAlive) {
     start_recording({{response("200 OK", "a song")}});
-    EXPECT_EQ(answer_to(replaced(get, "HTTP/1.1", "HTTP/1.0") + "Connection: keep-alive\r\n\r\n"),
+    EXPECT_EQ(answer_to(replace_first(get, "HTTP/1.1", "HTTP/1.0") + "Connection: keep-alive\r\n\r\n"),
               "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\na song" + healthy);
     EXPECT_EQ(server.received(),
               "GET /listen/item?part=2 HTTP/1.1\r\nRequest-Id: id-1\r\nRequest-Class: listen\r\n"
@@ -158,7 +159,7 @@
     EXPECT_EQ(received.substr(0, body_at),
               "POST /deposit/item HTTP/1.1\r\nRequest-Id: id-1\r\nHost: app.svc\r\n"
               "Request-Timeout-Ms: <varies>\r\nTransfer-Encoding: chunked\r\n\r\n");
-    EXPECT_TRUE(decoded_chunks(received, body_at) == body);
+    EXPECT_TRUE(decode_chunks(received, body_at) == body);
 }
 
 // ---- Health checks ----
@@ -170,10 +171,10 @@
               "HTTP/1.1 405 Method Not Allowed\r\nContent-Type: text/plain\r\n"
               "Content-Length: 18\r\n\r\nMethod Not Allowed" +
                   healthy);
-    EXPECT_EQ(last_answer_to("GET /_health HTTP/1.0\r\n\r\n"),
+    EXPECT_EQ(answer_until_closed("GET /_health HTTP/1.0\r\n\r\n"),
               "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nConnection: close\r\n"
               "Content-Length: 2\r\n\r\nOK<closed>");
-    EXPECT_EQ(last_answer_to("HEAD /_health HTTP/1.1\r\nConnection: close\r\n\r\n"),
+    EXPECT_EQ(answer_until_closed("HEAD /_health HTTP/1.1\r\nConnection: close\r\n\r\n"),
               "HTTP/1.1 405 Method Not Allowed\r\nContent-Type: text/plain\r\nConnection: close\r\n"
               "Content-Length: 18\r\n\r\nMethod Not Allowed<closed>");
     EXPECT_EQ(server.received(), "");
@@ -184,15 +185,16 @@
 TEST_F(RecordedConversation, UnknownClassAndWrongForm) {
     start_recording({});
     EXPECT_EQ(
-        answer_to(replaced(replaced(get, "/listen", "/bequest"), "Request-Class: listen\r\n", "") + "\r\n"),
+        answer_to(replace_first(replace_first(get, "/listen", "/bequest"), "Request-Class: listen\r\n", "") +
+                  "\r\n"),
         "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n" + healthy);
-    EXPECT_EQ(answer_to(replaced(get, "GET", "PUT") + "\r\n"),
+    EXPECT_EQ(answer_to(replace_first(get, "GET", "PUT") + "\r\n"),
               "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n" + healthy);
     EXPECT_EQ(answer_to(get + "Content-Length: 2\r\n\r\nhi"),
               "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n" + healthy);
-    EXPECT_EQ(answer_to(replaced(annotate, "Idempotency-Key", "Another-Key")),
+    EXPECT_EQ(answer_to(replace_first(annotate, "Idempotency-Key", "Another-Key")),
               "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n" + healthy);
-    EXPECT_EQ(answer_to(replaced(get, "GET", "HEAD") + "\r\n"),
+    EXPECT_EQ(answer_to(replace_first(get, "GET", "HEAD") + "\r\n"),
               "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n" + healthy);
     EXPECT_EQ(server.received(), "");
 }
@@ -203,25 +205,27 @@
         "HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain\r\nConnection: close\r\n"
         "Content-Length: 11\r\n\r\nBad Request<closed>";
     for (const std::string& bad :
-         {std::string("nonsense\r\n\r\n"), replaced(get, "Request-Id: id-1\r\n", "") + "\r\n",
-          get + "Request-Id: id-2\r\n\r\n", replaced(get, "5000", "soon") + "\r\n",
-          replaced(get, "5000", "-5") + "\r\n", replaced(get, "Class: listen", "Class: deposit") + "\r\n",
-          replaced(get, "HTTP/1.1", "HTTP/1.2") + "\r\n", replaced(get, "HTTP/1.1", "HTTP/2.0") + "\r\n",
+         {std::string("nonsense\r\n\r\n"), replace_first(get, "Request-Id: id-1\r\n", "") + "\r\n",
+          get + "Request-Id: id-2\r\n\r\n", replace_first(get, "5000", "soon") + "\r\n",
+          replace_first(get, "5000", "-5") + "\r\n",
+          replace_first(get, "Class: listen", "Class: deposit") + "\r\n",
+          replace_first(get, "HTTP/1.1", "HTTP/1.2") + "\r\n",
+          replace_first(get, "HTTP/1.1", "HTTP/2.0") + "\r\n",
           get + "X: " + std::string(20000, 'x') + "\r\n\r\n", post + "Content-Length: +2\r\n\r\nhi",
           post + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi!",
           post + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
           post + "Transfer-Encoding: gzip\r\n\r\nhi",
           post + "Transfer-Encoding: chunked\r\n\r\nzz\r\nhi\r\n0\r\n\r\n"})
-        EXPECT_EQ(last_answer_to(bad), bad_request) << bad.substr(0, 300);
+        EXPECT_EQ(answer_until_closed(bad), bad_request) << bad.substr(0, 300);
     EXPECT_EQ(server.received(), "");
 }
 
 TEST_F(RecordedConversation, OversizeBodies) {
     start_recording({});
-    EXPECT_EQ(last_answer_to(post + "Content-Length: 33554433\r\n\r\n"),
+    EXPECT_EQ(answer_until_closed(post + "Content-Length: 33554433\r\n\r\n"),
               "HTTP/1.1 413 Payload Too Large\r\nContent-Type: text/plain\r\nConnection: close\r\n"
               "Content-Length: 17\r\n\r\nPayload Too Large<closed>");
-    EXPECT_EQ(last_answer_to(post + "Transfer-Encoding: chunked\r\n\r\n2000001\r\n"),
+    EXPECT_EQ(answer_until_closed(post + "Transfer-Encoding: chunked\r\n\r\n2000001\r\n"),
               "HTTP/1.1 413 Payload Too Large\r\nContent-Type: text/plain\r\nConnection: close\r\n"
               "Content-Length: 17\r\n\r\nPayload Too Large<closed>");
     EXPECT_EQ(server.received(), "");
--- a/tests/recorded_response_test.cpp
+++ b/tests/recorded_response_test.cpp
@@ -32,7 +32,7 @@
 TEST_F(RecordedResponse, AnswerInChunksForHttp10EndsWithTheConnection) {
     start_recording({});
     RecordingClient& client = connect();
-    client.send(replaced(get, "HTTP/1.1", "HTTP/1.0") + "Connection: keep-alive\r\n\r\n");
+    client.send(replace_first(get, "HTTP/1.1", "HTTP/1.0") + "Connection: keep-alive\r\n\r\n");
     until([&] { return server.complete_count() == 1; });
     server.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
     until([&] { return client.has_received("first"); });
@@ -137,7 +137,7 @@
 
 TEST_F(RecordedResponse, TimedOutAttempt) {
     start_recording({});
-    EXPECT_EQ(answer_to(replaced(post, "5000", "300") + "Content-Length: 2\r\n\r\nhi"),
+    EXPECT_EQ(answer_to(replace_first(post, "5000", "300") + "Content-Length: 2\r\n\r\nhi"),
               "HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 0\r\n\r\n" + healthy);
     EXPECT_EQ(server.received(),
               "POST /deposit/item HTTP/1.1\r\nRequest-Id: id-1\r\nHost: app.svc\r\n"
@@ -189,7 +189,7 @@
 TEST_F(RecordedResponse, AnswerThatWouldEndWithTheConnectionAndBreaksOffIsReset) {
     start_recording({});
     RecordingClient& client = connect();
-    client.send(replaced(post, "HTTP/1.1", "HTTP/1.0") + "Content-Length: 2\r\n\r\nhi");
+    client.send(replace_first(post, "HTTP/1.1", "HTTP/1.0") + "Content-Length: 2\r\n\r\nhi");
     until([&] { return server.complete_count() == 1; });
     server.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
     until([&] { return client.has_received("first"); });
--- a/tests/retry_pacer_test.cpp
+++ b/tests/retry_pacer_test.cpp
@@ -58,7 +58,7 @@
     EXPECT_EQ(resumed, 0);
     io.run();
     EXPECT_EQ(resumed, 1);
-    EXPECT_GE(std::chrono::steady_clock::now() - began, span(kPause));
+    EXPECT_GE(std::chrono::steady_clock::now() - began, to_duration(kPause));
 }
 
 TEST_F(RetryPacerTest, AnotherPauseTakesThePlaceOfTheFirst) {
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -258,45 +258,45 @@
     };
     // Starts it, tells it a hundred changes and then the whole list anew.
     Cost cost_of(std::size_t count) {
-        std::vector<Listed> servers;
+        std::vector<ListedServer> servers;
         for (std::size_t i = 0; i < count; ++i)
             servers.push_back({"scan-server-" + std::to_string(i), a.address()});
         const std::string whole = list_json(kVersion + kChanges + 1, true, servers);
         sidecar.reset();
-        until([&] { return agent.ended() == agent.connections.size(); });
+        until([&] { return agent.ended_count() == agent.connections.size(); });
         const std::size_t descriptors_before = descriptors(), before = heap.held;
         heap.most = before;
         start(servers);
-        until([&] { return watched_from(std::to_string(kVersion)); });
+        until([&] { return is_watched_from(std::to_string(kVersion)); });
         Cost cost;
         cost.held = heap.held - before;
         for (int i = 1; i <= kChanges; ++i) {
-            const Listed& one = servers[static_cast<std::size_t>(i / 2)];
-            tell(list_json(kVersion + i, false, {{one.id, one.address, i % 2 ? "Draining" : "Ready"}}));
-            until([&] { return watched_from(std::to_string(kVersion + i)); });
+            const ListedServer& one = servers[static_cast<std::size_t>(i / 2)];
+            send_list(list_json(kVersion + i, false, {{one.id, one.address, i % 2 ? "Draining" : "Ready"}}));
+            until([&] { return is_watched_from(std::to_string(kVersion + i)); });
         }
         cost.grown = std::max<std::size_t>(heap.held, before + cost.held) - before - cost.held;
-        tell(whole);
-        until([&] { return watched_from(std::to_string(kVersion + kChanges + 1)); });
+        send_list(whole);
+        until([&] { return is_watched_from(std::to_string(kVersion + kChanges + 1)); });
         cost.most = heap.most - before;
         cost.descriptors = descriptors() - descriptors_before;
         return cost;
     }
     // The processor time of a change over sockets, the least of a hundred, with so many listed.
     double time_of_change(std::size_t count) {
-        std::vector<Listed> servers;
+        std::vector<ListedServer> servers;
         for (std::size_t i = 0; i < count; ++i)
             servers.push_back({"scan-server-" + std::to_string(i), a.address()});
         sidecar.reset();
-        until([&] { return agent.ended() == agent.connections.size(); });
+        until([&] { return agent.ended_count() == agent.connections.size(); });
         start(servers);
-        until([&] { return watched_from(std::to_string(kVersion)); });
+        until([&] { return is_watched_from(std::to_string(kVersion)); });
         double least = std::numeric_limits<double>::infinity();
         for (int i = 1; i <= kChanges; ++i) {
-            const Listed& one = servers[static_cast<std::size_t>(i / 2)];
+            const ListedServer& one = servers[static_cast<std::size_t>(i / 2)];
             const double before = mothring::test::processor_time();
-            tell(list_json(kVersion + i, false, {{one.id, one.address, i % 2 ? "Draining" : "Ready"}}));
-            until([&] { return watched_from(std::to_string(kVersion + i)); });
+            send_list(list_json(kVersion + i, false, {{one.id, one.address, i % 2 ? "Draining" : "Ready"}}));
+            until([&] { return is_watched_from(std::to_string(kVersion + i)); });
             least = std::min(least, mothring::test::processor_time() - before);
         }
         return least;
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -11,7 +11,7 @@
 TEST_F(Net, ServesWhatAServerMade) {
     start_with_a();
     a.script = [](const auto&) { return Reply{response("200 OK", "a song", "Content-Type: audio/x\r\n")}; };
-    const auto answer = ask(request("annotate", "id-1", 5000, "a note"));
+    const auto answer = send_and_wait(request("annotate", "id-1", 5000, "a note"));
     EXPECT_EQ(answer.result_int(), 200u);
     EXPECT_EQ(answer.body(), "a song");
     EXPECT_EQ(answer["Content-Type"], "audio/x");
@@ -31,7 +31,7 @@
 // An agent that never answers must not keep the sidecar from being ready.
 TEST_F(Net, IsReadyWithASilentAgent) {
     start();
-    EXPECT_EQ(ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").result_int(), 200u);
+    EXPECT_EQ(send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").result_int(), 200u);
 }
 
 TEST_F(Net, OneConnectionCarriesManyRequests) {
@@ -40,7 +40,7 @@
     for (std::size_t i = 1; i <= 3; ++i) {
         c.send(request("listen", "id-" + std::to_string(i)));
         until([&] { return c.answers.size() == i; });
-        let_rest(io);
+        wait_for_connection_reuse(io);
     }
     EXPECT_FALSE(c.ended);
     EXPECT_EQ(a.connections.size(), 1u);
@@ -62,9 +62,9 @@
     for (const Reply& reply : {Reply{response("500 Oops")}, Reply{response("503 Full")}, Reply{"", true}}) {
         start();
         a.script = b.script = [&](const auto&) { return reply; };
-        const std::size_t before = arrived();
-        const auto answer = ask(request("deposit", "id-" + std::to_string(before)));
-        EXPECT_EQ(arrived(), before + 1);
+        const std::size_t before = server_request_count();
+        const auto answer = send_and_wait(request("deposit", "id-" + std::to_string(before)));
+        EXPECT_EQ(server_request_count(), before + 1);
         EXPECT_EQ(answer.result_int() / 100, 5u);
         EXPECT_NE(answer.result_int(), 503u);
         sidecar.reset();
@@ -74,10 +74,10 @@
 TEST_F(Net, AnUnsafeRequestThatNeverRanGoesElsewhere) {
     start();
     a.script = b.script = [this](const auto&) {
-        return Reply{arrived() == 1 ? not_started : response("200 OK", "filed")};
+        return Reply{server_request_count() == 1 ? not_started : response("200 OK", "filed")};
     };
-    EXPECT_EQ(ask(request("deposit", "id-1")).body(), "filed");
-    EXPECT_EQ(arrived(), 2u);
+    EXPECT_EQ(send_and_wait(request("deposit", "id-1")).body(), "filed");
+    EXPECT_EQ(server_request_count(), 2u);
     EXPECT_NE(a.requests.size(), b.requests.size() + 2);
 }
 
@@ -85,16 +85,16 @@
 TEST_F(Net, WhatNobodyTakesIsRefused) {
     start();
     a.script = b.script = [](const auto&) { return Reply{not_started}; };
-    EXPECT_EQ(ask(request("deposit", "id-1")).result_int(), 503u);
-    EXPECT_LE(arrived(), 4u);
-    EXPECT_GE(arrived(), 1u);
+    EXPECT_EQ(send_and_wait(request("deposit", "id-1")).result_int(), 503u);
+    EXPECT_LE(server_request_count(), 4u);
+    EXPECT_GE(server_request_count(), 1u);
 }
 
 TEST_F(Net, AServerThatIsDownIsNoLoss) {
     b.close();
     start();
     for (int i = 0; i < 8; ++i)
-        EXPECT_EQ(ask(request("deposit", "id-" + std::to_string(i))).result_int(), 200u);
+        EXPECT_EQ(send_and_wait(request("deposit", "id-" + std::to_string(i))).result_int(), 200u);
     EXPECT_EQ(a.requests.size(), 8u);
 }
 
@@ -106,7 +106,7 @@
     c.send(request("deposit", "id-1", 60));
     until([&] { return !c.answers.empty(); });
     EXPECT_EQ(c.answers[0].result_int(), 504u);
-    until([&] { return a.ended() == 1; });  // a try that ends by time closes its connection
+    until([&] { return a.ended_count() == 1; });  // a try that ends by time closes its connection
     a.script = serve;
     c.send(request("deposit", "id-2"));
     until([&] { return c.answers.size() == 2; });
@@ -122,7 +122,7 @@
     c.send(request("listen", "id-1"));
     until([&] { return a.requests.size() == 1; });
     c.close();
-    until([&] { return a.ended() == 1; });
+    until([&] { return a.ended_count() == 1; });
     EXPECT_EQ(sidecar->request_count(), 0u);
     EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
@@ -130,35 +130,35 @@
 // Rule 3.
 TEST_F(Net, ADrainingServerGetsNothingNew) {
     start();
-    until([&] { return watched_from("41"); });
-    tell(list_json(42, false, {{"s-a", a.address(), "Terminating"}}));
-    until([&] { return watched_from("42"); });
+    until([&] { return is_watched_from("41"); });
+    send_list(list_json(42, false, {{"s-a", a.address(), "Terminating"}}));
+    until([&] { return is_watched_from("42"); });
     for (int i = 0; i < 8; ++i)
-        EXPECT_EQ(ask(request("listen", "id-" + std::to_string(i))).result_int(), 200u);
+        EXPECT_EQ(send_and_wait(request("listen", "id-" + std::to_string(i))).result_int(), 200u);
     EXPECT_EQ(a.requests.size(), 0u);
 }
 
 TEST_F(Net, AServerThatIsGoneOrLeftOutOfAFullListGetsNothing) {
     start();
-    until([&] { return watched_from("41"); });
-    tell(list_json(42, false, {{"s-a", a.address(), "Gone"}}));
-    until([&] { return watched_from("42"); });
-    EXPECT_EQ(ask(request("listen", "id-1")).result_int(), 200u);
+    until([&] { return is_watched_from("41"); });
+    send_list(list_json(42, false, {{"s-a", a.address(), "Gone"}}));
+    until([&] { return is_watched_from("42"); });
+    EXPECT_EQ(send_and_wait(request("listen", "id-1")).result_int(), 200u);
     EXPECT_EQ(b.requests.size(), 1u);
-    tell(list_json(50, true, {{"s-a", a.address()}}));
-    until([&] { return watched_from("50"); });
-    EXPECT_EQ(ask(request("listen", "id-2")).result_int(), 200u);
+    send_list(list_json(50, true, {{"s-a", a.address()}}));
+    until([&] { return is_watched_from("50"); });
+    EXPECT_EQ(send_and_wait(request("listen", "id-2")).result_int(), 200u);
     EXPECT_EQ(a.requests.size(), 1u);
     EXPECT_EQ(b.requests.size(), 1u);
 }
 
 TEST_F(Net, AServerThatMovesIsMetAtItsNewAddress) {
     start_with_a();
-    EXPECT_EQ(ask(request("listen", "id-1")).result_int(), 200u);
-    until([&] { return watched_from("41"); });
-    tell(list_json(42, false, {{"s-a", b.address()}}));
-    until([&] { return watched_from("42"); });
-    EXPECT_EQ(ask(request("listen", "id-2")).result_int(), 200u);
+    EXPECT_EQ(send_and_wait(request("listen", "id-1")).result_int(), 200u);
+    until([&] { return is_watched_from("41"); });
+    send_list(list_json(42, false, {{"s-a", b.address()}}));
+    until([&] { return is_watched_from("42"); });
+    EXPECT_EQ(send_and_wait(request("listen", "id-2")).result_int(), 200u);
     EXPECT_EQ(b.requests.size(), 1u);
 }
 
@@ -173,11 +173,11 @@
         bool told = false;
         agent.script = [&](const auto&) { return std::exchange(told, true) ? Reply{} : reply; };
         if (before > 0) agent.connections.back()->socket.close();
-        until([&] { return agent.requests.size() >= before + 2 && watched_from("41"); });
+        until([&] { return agent.requests.size() >= before + 2 && is_watched_from("41"); });
         agent.script = silence;
     }
-    tell(list_json(42, false, {{"s-a", a.address(), "Terminating"}}));
-    until([&] { return watched_from("42"); });
+    send_list(list_json(42, false, {{"s-a", a.address(), "Terminating"}}));
+    until([&] { return is_watched_from("42"); });
 }
 
 // A watch that falls silent right after its call misses drains that count as told 6 s later (PROTOCOL,
@@ -190,11 +190,12 @@
     until([&] { return agent.requests.size() == 2; });
     EXPECT_LE(std::chrono::steady_clock::now() - called, std::chrono::milliseconds(3000));
     EXPECT_EQ(agent.connections.size(), 2u);
-    EXPECT_EQ(agent.ended(), 0u) << "it may only be slow";
-    tell(list_json(42, false, {{"s-a", a.address(), "Terminating"}}));
-    until([&] { return watched_from("42") && agent.ended() == 1; });
+    EXPECT_EQ(agent.ended_count(), 0u) << "it may only be slow";
+    send_list(list_json(42, false, {{"s-a", a.address(), "Terminating"}}));
+    until([&] { return is_watched_from("42") && agent.ended_count() == 1; });
     EXPECT_EQ(agent.connections.size(), 2u);
-    for (int i = 0; i < 8; ++i) EXPECT_EQ(ask(request("listen", std::to_string(i))).result_int(), 200u);
+    for (int i = 0; i < 8; ++i)
+        EXPECT_EQ(send_and_wait(request("listen", std::to_string(i))).result_int(), 200u);
     EXPECT_EQ(a.requests.size(), 0u);
 }
 
@@ -202,7 +203,7 @@
     start();
     until([&] { return agent.requests.size() == 2; });
     agent.send(0, response("200 OK", list_json(42, false, {{"s-a", a.address(), "Terminating"}})));
-    until([&] { return watched_from("42") && agent.ended() == 1; });
+    until([&] { return is_watched_from("42") && agent.ended_count() == 1; });
     EXPECT_EQ(agent.connections[0]->requests, 2u);
     EXPECT_TRUE(agent.connections[1]->ended);
 }
@@ -211,37 +212,41 @@
 // is.
 TEST_F(Net, AnOlderListIsNotTakenUntilItIsTheWholeOne) {
     start();
-    until([&] { return watched_from("41"); });
-    tell(list_json(30, false, {{"s-a", a.address(), "Terminating"}, {"s-b", b.address(), "Terminating"}}));
+    until([&] { return is_watched_from("41"); });
+    send_list(
+        list_json(30, false, {{"s-a", a.address(), "Terminating"}, {"s-b", b.address(), "Terminating"}}));
     until([&] { return agent.requests.back().target() == "/catalog/members"; });
-    EXPECT_EQ(ask(request("listen", "id-1")).result_int(), 200u);
-    tell(list_json(30, true, {{"s-b", b.address()}}));
-    until([&] { return watched_from("30"); });
+    EXPECT_EQ(send_and_wait(request("listen", "id-1")).result_int(), 200u);
+    send_list(list_json(30, true, {{"s-b", b.address()}}));
+    until([&] { return is_watched_from("30"); });
     const std::size_t before = a.requests.size();
-    for (int i = 0; i < 4; ++i) EXPECT_EQ(ask(request("listen", std::to_string(i))).result_int(), 200u);
+    for (int i = 0; i < 4; ++i)
+        EXPECT_EQ(send_and_wait(request("listen", std::to_string(i))).result_int(), 200u);
     EXPECT_EQ(a.requests.size(), before);
 }
 
 // Some hundreds of servers are usual; 1,024 come whole and as changes, within the least limits of a
 // deployment.
 TEST_F(Net, AThousandServersComeWholeAndAsChanges) {
-    std::vector<Listed> many{{"s-b", b.address()}};
+    std::vector<ListedServer> many{{"s-b", b.address()}};
     for (int i = 0; i < 1023; ++i) many.push_back({"s-" + std::to_string(i), a.address()});
     start({{"s-b", b.address()}}, "256");
-    until([&] { return watched_from("41"); });
-    tell(list_json(42, true, many));
-    until([&] { return watched_from("42") && sidecar->metrics().servers_listed == 1024; });
-    for (int i = 0; i < 300; ++i) EXPECT_EQ(ask(request("listen", std::to_string(i))).result_int(), 200u);
+    until([&] { return is_watched_from("41"); });
+    send_list(list_json(42, true, many));
+    until([&] { return is_watched_from("42") && sidecar->metrics().servers_listed == 1024; });
+    for (int i = 0; i < 300; ++i)
+        EXPECT_EQ(send_and_wait(request("listen", std::to_string(i))).result_int(), 200u);
     EXPECT_GT(a.requests.size(), 200u);
     // Every server has connections of its own, and each idle one makes room for another.
-    EXPECT_LE(a.connections.size() - a.ended() + b.connections.size() - b.ended(), (256u - 24u) / 2);
-    for (Listed& server : many)
+    EXPECT_LE(a.connections.size() - a.ended_count() + b.connections.size() - b.ended_count(),
+              (256u - 24u) / 2);
+    for (ListedServer& server : many)
         if (server.id != "s-b") server.state = "Terminating";
-    tell(list_json(43, false, many));
-    until([&] { return watched_from("43"); });
+    send_list(list_json(43, false, many));
+    until([&] { return is_watched_from("43"); });
     const std::size_t before = a.requests.size();
     for (int i = 0; i < 8; ++i)
-        EXPECT_EQ(ask(request("listen", "b-" + std::to_string(i))).result_int(), 200u);
+        EXPECT_EQ(send_and_wait(request("listen", "b-" + std::to_string(i))).result_int(), 200u);
     EXPECT_EQ(a.requests.size(), before);
     EXPECT_EQ(sidecar->metrics().servers_unavailable, 1023u);
 }
@@ -250,18 +255,19 @@
 TEST_F(Net, AMovedDiscoveryIsWatchedWhereItIs) {
     ScriptedServer moved(io, silence);
     start();
-    until([&] { return watched_from("41"); });
+    until([&] { return is_watched_from("41"); });
     config::Config config = config::read_config(config_json(moved.address(), list_json(41, true, {})));
     sidecar->reconfigure(config);
-    until([&] { return moved.requests.size() == 1 && agent.ended() == 1; });
+    until([&] { return moved.requests.size() == 1 && agent.ended_count() == 1; });
     EXPECT_NE(moved.requests[0].target().find("from=41&"), boost::beast::string_view::npos);
     moved.send(0, response("200 OK", list_json(42, false, {{"s-a", a.address(), "Terminating"}})));
     until([&] { return moved.requests.size() == 2; });
-    for (int i = 0; i < 4; ++i) EXPECT_EQ(ask(request("listen", std::to_string(i))).result_int(), 200u);
+    for (int i = 0; i < 4; ++i)
+        EXPECT_EQ(send_and_wait(request("listen", std::to_string(i))).result_int(), 200u);
     EXPECT_EQ(a.requests.size(), 0u);
     sidecar->reconfigure(config);  // nothing new: the watch stays
-    EXPECT_EQ(ask(request("listen", "last")).result_int(), 200u);
-    EXPECT_EQ(moved.ended(), 0u);
+    EXPECT_EQ(send_and_wait(request("listen", "last")).result_int(), 200u);
+    EXPECT_EQ(moved.ended_count(), 0u);
     EXPECT_EQ(agent.requests.size(), 1u);
 }
 
@@ -275,7 +281,7 @@
         return config::read_config(text.replace(text.find(pushed), pushed.size(), "\"on_request\""));
     };
     sidecar.emplace(io, config(agent.address()));
-    until([&] { return watched_from("41"); });
+    until([&] { return is_watched_from("41"); });
     const auto signal = std::chrono::steady_clock::now();
     sidecar->reconfigure(config(moved.address()));
     until([&] { return moved.requests.size() == 8; });
@@ -297,8 +303,8 @@
         EXPECT_EQ(c.answers[0].result_int(), 400u);
         EXPECT_FALSE(c.answers[0].keep_alive());
     }
-    EXPECT_EQ(arrived(), 0u);
-    EXPECT_EQ(ask(request("listen", "id-1")).result_int(), 200u);
+    EXPECT_EQ(server_request_count(), 0u);
+    EXPECT_EQ(send_and_wait(request("listen", "id-1")).result_int(), 200u);
 }
 
 // Found on page9581: a flood of requests of classes nobody configured went to the servers, which had no use
@@ -308,7 +314,7 @@
     const auto changed = [](std::string text, const std::string& what, const std::string& by) {
         return text.replace(text.find(what), what.size(), by);
     };
-    EXPECT_EQ(ask(request("bequest", "id-1")).result_int(), 404u);
+    EXPECT_EQ(send_and_wait(request("bequest", "id-1")).result_int(), 404u);
     const std::string fetch = request("listen", "id-2"), note = request("annotate", "id-3");
     for (const std::string& bad :
          {changed(fetch, "GET /", "PUT /"), changed(note, "POST /", "GET /"),
@@ -316,11 +322,11 @@
           changed(fetch, "\r\n\r\n", "\r\nContent-Length: 2\r\n\r\nhi"),
           changed(fetch, "Host:", "Request-Id: id-9\r\nHost:"),
           changed(request("deposit", "id-4"), "Host:", "Idempotency-Key: k\r\nHost:")})
-        EXPECT_EQ(ask(bad).result_int(), 400u) << bad;
-    EXPECT_EQ(arrived(), 0u);
+        EXPECT_EQ(send_and_wait(bad).result_int(), 400u) << bad;
+    EXPECT_EQ(server_request_count(), 0u);
     EXPECT_EQ(sidecar->gauges().requests, 0u);
-    EXPECT_EQ(ask(fetch).result_int(), 200u);
-    EXPECT_EQ(ask(note).result_int(), 200u);
+    EXPECT_EQ(send_and_wait(fetch).result_int(), 200u);
+    EXPECT_EQ(send_and_wait(note).result_int(), 200u);
 }
 
 // Found on page9581: requests that every server answers with 400 were tried at five servers each and counted
@@ -332,15 +338,15 @@
                                                         : response("200 OK", "served")};
     };
     for (int i = 0; i < 40; ++i) {
-        const auto answer = ask(request(i % 2 ? "listen" : "deposit", "bad-" + std::to_string(i)));
+        const auto answer = send_and_wait(request(i % 2 ? "listen" : "deposit", "bad-" + std::to_string(i)));
         EXPECT_EQ(answer.result_int(), 400u);
         EXPECT_EQ(answer.body(), "no such sheet");
     }
-    EXPECT_EQ(arrived(), 40u) << "none is tried twice";
+    EXPECT_EQ(server_request_count(), 40u) << "none is tried twice";
     EXPECT_EQ(sidecar->request_count(), 0u);
     const std::size_t at_a = a.requests.size(), at_b = b.requests.size();
     for (int i = 0; i < 40; ++i)
-        EXPECT_EQ(ask(request("listen", "id-" + std::to_string(i))).body(), "served");
+        EXPECT_EQ(send_and_wait(request("listen", "id-" + std::to_string(i))).body(), "served");
     EXPECT_GT(a.requests.size(), at_a) << "neither is out of the pool";
     EXPECT_GT(b.requests.size(), at_b);
 }
@@ -377,7 +383,7 @@
     bool done = false;
     sidecar->drain([&] { done = true; });
     a.script = serve;
-    const auto late = ask(request("listen", "id-2"));
+    const auto late = send_and_wait(request("listen", "id-2"));
     EXPECT_EQ(late.result_int(), 200u);
     EXPECT_FALSE(late.keep_alive());
     until([&] { return idle.ended; });
@@ -416,7 +422,7 @@
     waiting.send(request("listen", "id-1"));
     until([&] { return a.requests.size() == 1; });
     for (int i = 0; i < 10; ++i)
-        EXPECT_EQ(ask("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").result_int(), 200u);
+        EXPECT_EQ(send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").result_int(), 200u);
     EXPECT_FALSE(waiting.ended);
     a.send(0, response("200 OK"));
     until([&] { return waiting.answers.size() == 1; });
@@ -429,7 +435,7 @@
     c.send(request("listen", "id-1"));
     until([&] { return c.answers.size() == 1; });
     TestClient& waiting = client();  // in the backlog
-    std::optional<NoDescriptors> no_descriptors(std::in_place);
+    std::optional<DescriptorExhaustion> no_descriptors(std::in_place);
     waiting.send(request("listen", "id-2"));
     for (int turns = 0; turns < 20; ++turns) io.run_one_for(std::chrono::milliseconds(10));
     c.send(request("listen", "id-3"));  // a connection that is there still serves
@@ -464,7 +470,7 @@
         return std::all_of(all.begin(), all.end(), [](TestClient* c) { return !c->answers.empty(); });
     });
     until([&] { return sidecar->request_count() == 0; });
-    const auto after = ask(request("listen", "last"));
+    const auto after = send_and_wait(request("listen", "last"));
     EXPECT_NE(after.result_int(), 0u);
     for (TestClient* c : all) {
         EXPECT_EQ(c->answers.size(), 1u);
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -188,10 +188,10 @@
         before = all;
         return same > 100;
     });
-    EXPECT_LE(sidecar->buffered_bytes(), (2u << 20) + count * net::BodyBuffer::kLeast);
+    EXPECT_LE(sidecar->buffered_bytes(), (2u << 20) + count * net::BodyBuffer::kMinCapacity);
     EXPECT_LT(before, count * size / 2) << "the kernel's buffers are far smaller than that";
     // Others are served meanwhile.
-    EXPECT_EQ(ask("GET /_health HTTP/1.1\r\n\r\n").result_int(), 200u);
+    EXPECT_EQ(send_and_wait("GET /_health HTTP/1.1\r\n\r\n").result_int(), 200u);
     for (RawPeer& reader : readers) EXPECT_FALSE(reader.ended);
     readers.clear();
     until([&] { return sidecar->request_count() == 0 && sidecar->buffered_bytes() == 0; });
@@ -231,7 +231,7 @@
                    ? Reply{"HTTP/1.1 200 OK\r\nContent-Length: 50000\r\n\r\n" + std::string(40000, 'a'), true}
                    : Reply{response("200 OK", std::string(50000, 'b'))};
     };
-    EXPECT_EQ(ask(request("listen", "id-1")).body(), std::string(50000, 'b'));
+    EXPECT_EQ(send_and_wait(request("listen", "id-1")).body(), std::string(50000, 'b'));
 }
 
 // A body that is not kept any more can't be sent again, whatever its class allows.
@@ -248,7 +248,7 @@
     EXPECT_EQ(turn, 1);
     // Kept, it can.
     turn = 0;
-    EXPECT_EQ(ask(request("annotate", "id-2", 5000, pattern(60000))).result_int(), 200u);
+    EXPECT_EQ(send_and_wait(request("annotate", "id-2", 5000, pattern(60000))).result_int(), 200u);
     EXPECT_EQ(turn, 2);
 }
 
@@ -295,8 +295,8 @@
 TEST_F(Stream, MoreThanTheLargestBodyIs413) {
     start_with_a();
     const std::string head = "POST /deposit HTTP/1.1\r\nRequest-Id: x\r\nRequest-Timeout-Ms: 900\r\n";
-    EXPECT_EQ(ask(head + "Content-Length: 33554433\r\n\r\n").result_int(), 413u);
-    EXPECT_EQ(ask(head + "Transfer-Encoding: chunked\r\n\r\n2000001\r\n").result_int(), 413u);
+    EXPECT_EQ(send_and_wait(head + "Content-Length: 33554433\r\n\r\n").result_int(), 413u);
+    EXPECT_EQ(send_and_wait(head + "Transfer-Encoding: chunked\r\n\r\n2000001\r\n").result_int(), 413u);
     EXPECT_EQ(a.requests.size(), 0u);
 }
 
@@ -382,7 +382,7 @@
                 response("200 OK", "the song")},
           Reply{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\nthe song\r\n0\r\nA: b\r\n\r\n"}}) {
         a.script = [&](const auto&) { return reply; };
-        const auto answer = ask(request("listen", "id-" + std::to_string(++number)));
+        const auto answer = send_and_wait(request("listen", "id-" + std::to_string(++number)));
         EXPECT_EQ(answer.result_int(), 200u);
         EXPECT_EQ(answer.body(), "the song") << reply.bytes;
     }
@@ -396,7 +396,7 @@
         crowd.push_back(&client());
         if (i % 2) crowd.back()->send("GET /listen HTTP/1.1\r\nHost");
         if (i % 10 != 9) continue;
-        EXPECT_EQ(ask(request("listen", "id-" + std::to_string(i), 900)).result_int(), 200u);
+        EXPECT_EQ(send_and_wait(request("listen", "id-" + std::to_string(i), 900)).result_int(), 200u);
     }
     EXPECT_EQ(a.requests.size(), 6u);
 }
--- a/tests/system_call_faults.cpp
+++ b/tests/system_call_faults.cpp
@@ -133,15 +133,15 @@
     fault.times = times;
     fault.ports = ports;
 }
-void SystemCallFaults::shorten(SystemCall call, std::size_t most_bytes, Ports ports) {
+void SystemCallFaults::limit_bytes(SystemCall call, std::size_t most_bytes, Ports ports) {
     Fault& fault = fault_of(call);
     fault = {};
     fault.most_bytes = most_bytes;
     fault.ports = ports;
 }
-int SystemCallFaults::failed(SystemCall call) const { return fault_of(call).failed; }
-int SystemCallFaults::made(SystemCall call) const { return fault_of(call).made; }
-int SystemCallFaults::endless_waits() const { return state.endless_waits; }
+int SystemCallFaults::failure_count(SystemCall call) const { return fault_of(call).failed; }
+int SystemCallFaults::call_count(SystemCall call) const { return fault_of(call).made; }
+int SystemCallFaults::unbounded_wait_count() const { return state.endless_waits; }
 
 }  // namespace mothring::test
 
--- a/tests/system_call_faults.hpp
+++ b/tests/system_call_faults.hpp
@@ -31,13 +31,13 @@
     /// the place of what was armed for that call before; 0 times ends it.
     void fail(SystemCall call, int error, int times = 1, Ports ports = {});
     /// Each such call moves at most so many bytes.
-    void shorten(SystemCall receive_or_send, std::size_t most_bytes, Ports ports = {});
+    void limit_bytes(SystemCall receive_or_send, std::size_t most_bytes, Ports ports = {});
 
     /// How many such calls have failed by what was armed last, and how many of its filter were made since.
-    int failed(SystemCall call) const;
-    int made(SystemCall call) const;
+    int failure_count(SystemCall call) const;
+    int call_count(SystemCall call) const;
     /// How many calls would have waited without a limit, in poll(): they are interrupted instead.
-    int endless_waits() const;
+    int unbounded_wait_count() const;
 };
 
 }  // namespace mothring::test
