--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -47,8 +47,8 @@
         };
         start();
         for (int i = 0; i < 10; ++i)
-            EXPECT_EQ(ask(request("deposit", "known-" + std::to_string(i))).result_int(), 200u);
-        until([&] { return watched_from("41"); });
+            EXPECT_EQ(send_and_wait(request("deposit", "known-" + std::to_string(i))).result_int(), 200u);
+        until([&] { return is_watched_from("41"); });
     }
     /// A request on a connection that is there.
     TestClient::Answer ask_on(TestClient& c, const std::string& bytes) {
@@ -92,7 +92,7 @@
     for (const int error : {EADDRNOTAVAIL, EADDRINUSE, EAGAIN, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM,
                             ENETDOWN, ENETUNREACH, EACCES, EPERM}) {
         EXPECT_EQ(after_connect_fails_with(error), Outcome::not_sent) << std::strerror(error);
-        EXPECT_EQ(faults.failed(SystemCall::connect), 1);
+        EXPECT_EQ(faults.failure_count(SystemCall::connect), 1);
         EXPECT_EQ(upstream->stats().open, 0u);
     }
     EXPECT_EQ(a.requests.size(), 0u);
@@ -120,13 +120,13 @@
     for (const int error : {EADDRNOTAVAIL, EAGAIN, EINTR, ENOBUFS, ENETUNREACH}) {
         start_with_servers_known();
         TestClient& c = client();
-        const std::size_t before = arrived();
+        const std::size_t before = server_request_count();
         faults.fail(SystemCall::connect, error, 1);
         EXPECT_EQ(ask_on(c, request("deposit", "id-" + std::to_string(error))).result_int(), 200u)
             << std::strerror(error);
-        EXPECT_EQ(faults.failed(SystemCall::connect), 1) << std::strerror(error);
+        EXPECT_EQ(faults.failure_count(SystemCall::connect), 1) << std::strerror(error);
         EXPECT_EQ(sidecar->metrics().servers_unavailable, 0u) << std::strerror(error);
-        EXPECT_EQ(arrived(), before + 1);
+        EXPECT_EQ(server_request_count(), before + 1);
         sidecar.reset();
     }
 }
@@ -136,14 +136,14 @@
 TEST_F(SystemCalls, AllConnectsFailing_refusesAtOnceAndEjectsNobody) {
     start_with_servers_known();
     TestClient& c = client();
-    const std::size_t before = arrived();
+    const std::size_t before = server_request_count();
     faults.fail(SystemCall::connect, EADDRNOTAVAIL, kForever);
     EXPECT_EQ(ask_on(c, request("deposit", "id-1")).result_int(), 503u);
-    EXPECT_LE(faults.failed(SystemCall::connect), 4) << "max-attempts";
+    EXPECT_LE(faults.failure_count(SystemCall::connect), 4) << "max-attempts";
     faults.fail(SystemCall::connect, 0, 0);
     EXPECT_EQ(sidecar->metrics().servers_unavailable, 0u);
     EXPECT_EQ(ask_on(c, request("deposit", "id-2")).result_int(), 200u);
-    EXPECT_EQ(arrived(), before + 1);
+    EXPECT_EQ(server_request_count(), before + 1);
 }
 
 // ---- Accepting --------------------------------------------------------------------------------------------
@@ -152,9 +152,9 @@
     start();
     for (const int error : {ECONNABORTED, EPROTO, EINTR, EHOSTUNREACH, ETIMEDOUT, EMFILE}) {
         faults.fail(SystemCall::accept, error, 1, at_front());
-        EXPECT_EQ(ask(request("listen", "id-" + std::to_string(error))).result_int(), 200u)
+        EXPECT_EQ(send_and_wait(request("listen", "id-" + std::to_string(error))).result_int(), 200u)
             << std::strerror(error);
-        EXPECT_EQ(faults.failed(SystemCall::accept), 1) << std::strerror(error);
+        EXPECT_EQ(faults.failure_count(SystemCall::accept), 1) << std::strerror(error);
     }
 }
 
@@ -166,8 +166,8 @@
         TestClient& waiting = client();
         waiting.send(request("listen", "id-" + std::to_string(error)));
         let_pass(std::chrono::milliseconds(200));
-        EXPECT_GE(faults.failed(SystemCall::accept), 2) << std::strerror(error);
-        EXPECT_LE(faults.failed(SystemCall::accept), 400) << std::strerror(error);
+        EXPECT_GE(faults.failure_count(SystemCall::accept), 2) << std::strerror(error);
+        EXPECT_LE(faults.failure_count(SystemCall::accept), 400) << std::strerror(error);
         faults.fail(SystemCall::accept, 0, 0);
         until([&] { return waiting.answers.size() == 1; });
     }
@@ -184,7 +184,7 @@
         bool drained = false;
         sidecar->drain([&] { drained = true; });
         let_pass(std::chrono::milliseconds(600));  // past the time for which new connections come
-        EXPECT_EQ(faults.endless_waits(), 0) << std::strerror(error);
+        EXPECT_EQ(faults.unbounded_wait_count(), 0) << std::strerror(error);
         EXPECT_TRUE(error == EINTR || !drained) << std::strerror(error);
         faults.fail(SystemCall::accept, 0, 0);
         until([&] { return drained && waiting.ended; });
@@ -202,12 +202,12 @@
         TestClient& caller = clients.emplace_back(io, *sidecar->operator_address());
         caller.send("GET /ready HTTP/1.1\r\nHost: ops\r\n\r\n");
         until([&] { return caller.answers.size() == 1; });
-        EXPECT_EQ(faults.failed(SystemCall::accept), 1) << std::strerror(error);
+        EXPECT_EQ(faults.failure_count(SystemCall::accept), 1) << std::strerror(error);
     }
     faults.fail(SystemCall::accept, ECONNABORTED, kForever, at_operators);
     clients.emplace_back(io, *sidecar->operator_address());
     let_pass(std::chrono::milliseconds(200));
-    EXPECT_LE(faults.failed(SystemCall::accept), 400);
+    EXPECT_LE(faults.failure_count(SystemCall::accept), 400);
 }
 
 // ---- A client's end ---------------------------------------------------------------------------------------
@@ -223,25 +223,25 @@
     other.check();
     sidecar.emplace(io, config);
     ASSERT_TRUE(sidecar->limits_halved());
-    until([&] { return watched_from("41"); });
+    until([&] { return is_watched_from("41"); });
     faults.fail(SystemCall::socket, ENFILE, 2);
-    tell(list_json(42, false, {{"s-a", a.address()}}));
-    until([&] { return faults.failed(SystemCall::socket) == 2; });
+    send_list(list_json(42, false, {{"s-a", a.address()}}));
+    until([&] { return faults.failure_count(SystemCall::socket) == 2; });
     EXPECT_FALSE(sidecar->ready());
     until([&] { return sidecar->ready(); });
 }
 
 TEST_F(SystemCalls, InterruptedLook_stillSeesThatTheClientHasLeft) {
     start_with_a();
-    EXPECT_EQ(ask(request("deposit", "id-1")).result_int(), 200u);
-    let_rest(io);
+    EXPECT_EQ(send_and_wait(request("deposit", "id-1")).result_int(), 200u);
+    wait_for_connection_reuse(io);
     TestClient& leaving = client();
     faults.fail(SystemCall::poll, EINTR, 1, at_front());
     leaving.send(request("deposit", "id-left"));
     leaving.close();
-    until([&] { return faults.failed(SystemCall::poll) == 1; });
+    until([&] { return faults.failure_count(SystemCall::poll) == 1; });
     until([&] { return nothing_out(); });
-    EXPECT_EQ(ask(request("deposit", "id-3")).result_int(), 200u);
+    EXPECT_EQ(send_and_wait(request("deposit", "id-3")).result_int(), 200u);
     for (const auto& seen : a.requests) EXPECT_NE(seen["Request-Id"], "id-left");
 }
 
@@ -251,12 +251,12 @@
     start_with_a();
     a.script = [](const auto& seen) { return Reply{response("200 OK", seen.body())}; };
     const std::string body(500, 'x');
-    faults.shorten(SystemCall::receive, 1, at_front());
-    faults.shorten(SystemCall::send, 1, at_front());
-    EXPECT_EQ(ask(request("deposit", "id-1", 5000, body)).body(), body);
-    faults.shorten(SystemCall::receive, 1, to(a));
-    faults.shorten(SystemCall::send, 1, to(a));
-    EXPECT_EQ(ask(request("deposit", "id-2", 5000, body)).body(), body);
+    faults.limit_bytes(SystemCall::receive, 1, at_front());
+    faults.limit_bytes(SystemCall::send, 1, at_front());
+    EXPECT_EQ(send_and_wait(request("deposit", "id-1", 5000, body)).body(), body);
+    faults.limit_bytes(SystemCall::receive, 1, to(a));
+    faults.limit_bytes(SystemCall::send, 1, to(a));
+    EXPECT_EQ(send_and_wait(request("deposit", "id-2", 5000, body)).body(), body);
     EXPECT_EQ(a.requests.size(), 2u);
 }
 
@@ -264,8 +264,9 @@
     start_with_a();
     for (int times = 1; times <= 8; ++times) {
         faults.fail(SystemCall::receive, EINTR, times, at_front());
-        EXPECT_EQ(ask(request("deposit", "id-" + std::to_string(times))).result_int(), 200u) << times;
-        EXPECT_EQ(faults.failed(SystemCall::receive), times);
+        EXPECT_EQ(send_and_wait(request("deposit", "id-" + std::to_string(times))).result_int(), 200u)
+            << times;
+        EXPECT_EQ(faults.failure_count(SystemCall::receive), times);
     }
     EXPECT_EQ(a.requests.size(), 8u);
 }
@@ -279,7 +280,7 @@
     until([&] { return a.requests.size() == 1; });
     faults.fail(SystemCall::receive, EINTR, 1, at_front());
     c.send(request("listen", "id-2"));
-    until([&] { return faults.failed(SystemCall::receive) == 1; });
+    until([&] { return faults.failure_count(SystemCall::receive) == 1; });
     a.script = serve;
     a.send(0, response("200 OK", "served"));
     until([&] { return c.answers.size() == 2 || c.ended; });
@@ -290,8 +291,9 @@
     start_with_a();
     for (int times = 1; times <= 4; ++times) {
         faults.fail(SystemCall::receive, EINTR, times, to(a));
-        EXPECT_EQ(ask(request("deposit", "id-" + std::to_string(times))).result_int(), 200u) << times;
-        EXPECT_GE(faults.failed(SystemCall::receive), 1);
+        EXPECT_EQ(send_and_wait(request("deposit", "id-" + std::to_string(times))).result_int(), 200u)
+            << times;
+        EXPECT_GE(faults.failure_count(SystemCall::receive), 1);
     }
     EXPECT_EQ(a.requests.size(), 4u);
 }
@@ -299,24 +301,24 @@
 TEST_F(SystemCalls, InterruptedWrites_goOn) {
     start_with_a();
     faults.fail(SystemCall::send, EINTR, 5, to(a));
-    EXPECT_EQ(ask(request("deposit", "id-1")).result_int(), 200u);
-    EXPECT_EQ(faults.failed(SystemCall::send), 5);
+    EXPECT_EQ(send_and_wait(request("deposit", "id-1")).result_int(), 200u);
+    EXPECT_EQ(faults.failure_count(SystemCall::send), 5);
     faults.fail(SystemCall::send, EINTR, 5, at_front());
-    EXPECT_EQ(ask(request("deposit", "id-2")).result_int(), 200u);
-    EXPECT_EQ(faults.failed(SystemCall::send), 5);
+    EXPECT_EQ(send_and_wait(request("deposit", "id-2")).result_int(), 200u);
+    EXPECT_EQ(faults.failure_count(SystemCall::send), 5);
     EXPECT_EQ(a.requests.size(), 2u);
 }
 
 // An upload that is whole here while its server takes no more of it, with a client that leaves: it is not
 // finished, also where settings forbid to withdraw what a server has whole.
 struct UploadToABusyServer : SystemCalls {
-    const std::string body = std::string(net::BodyBuffer::kMost + 2000, 'x');
+    const std::string body = std::string(net::BodyBuffer::kMaxCapacity + 2000, 'x');
     static constexpr int kLongTime = 60000;  // ms, far more than until() waits
 
     void start_without_cancelling() {
         const std::string text = config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}}));
-        sidecar.emplace(io,
-                        config::read_config(replaced(text, "\"may-cancel\":true", "\"may-cancel\":false")));
+        sidecar.emplace(
+            io, config::read_config(replace_first(text, "\"may-cancel\":true", "\"may-cancel\":false")));
     }
     // Begun, and then held up; `early` is what its client sends behind it.
     TestClient& upload(const std::string& early) {
@@ -332,7 +334,7 @@
     }
     void server_takes_more() { faults.fail(SystemCall::send, EAGAIN, 0); }
     void expect_not_finished() {
-        until([&] { return sidecar->request_count() == 0 && a.ended() == 1; });
+        until([&] { return sidecar->request_count() == 0 && a.ended_count() == 1; });
         EXPECT_EQ(a.requests.size(), 0u);
     }
 };
@@ -382,11 +384,11 @@
 TEST_F(SystemCalls, BrokenReading_failsOnceAndIsNotSentAgain) {
     for (const int error : {ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
         start_with_a();
-        const std::size_t before = arrived();
+        const std::size_t before = server_request_count();
         faults.fail(SystemCall::receive, error, 1, to(a));
-        const auto answer = ask(request("deposit", "id-" + std::to_string(error)));
-        EXPECT_EQ(faults.failed(SystemCall::receive), 1);
-        EXPECT_EQ(arrived(), before + 1);
+        const auto answer = send_and_wait(request("deposit", "id-" + std::to_string(error)));
+        EXPECT_EQ(faults.failure_count(SystemCall::receive), 1);
+        EXPECT_EQ(server_request_count(), before + 1);
         EXPECT_EQ(answer.result_int(), 502u) << std::strerror(error);
         sidecar.reset();
     }
@@ -396,8 +398,8 @@
     start();
     faults.fail(SystemCall::epoll_wait, EINTR, 200);
     for (int i = 0; i < 10; ++i)
-        EXPECT_EQ(ask(request("deposit", "id-" + std::to_string(i))).result_int(), 200u);
-    until([&] { return faults.failed(SystemCall::epoll_wait) == 200; });
+        EXPECT_EQ(send_and_wait(request("deposit", "id-" + std::to_string(i))).result_int(), 200u);
+    until([&] { return faults.failure_count(SystemCall::epoll_wait) == 200; });
     // Timers too: the watch that nobody answers is begun anew when it is late.
     faults.fail(SystemCall::epoll_wait, EINTR, 200);
     until([&] { return agent.requests.size() == 2; });
@@ -434,7 +436,7 @@
         for (int calls = 0; calls < 2; ++calls) {
             EXPECT_EQ(next_failure().kind, ListFailure::broken) << std::strerror(error);
             EXPECT_LE(told_after.back(), kBound + kAgain / 2) << std::strerror(error);
-            let_pass(net::span(kAgain));
+            let_pass(net::to_duration(kAgain));
             discovery->watch(true);
         }
         discovery.reset();
@@ -466,7 +468,7 @@
         faults.fail(SystemCall::connect, error, kForever, to(agent));
         watch();
         next_failure();
-        let_pass(net::span(kAgain));
+        let_pass(net::to_duration(kAgain));
         discovery->watch(true);
         EXPECT_EQ(next_failure().kind, ListFailure::unreachable) << std::strerror(error);
         EXPECT_GE(told_after.back(), kBound + kAgain / 2) << std::strerror(error);
@@ -481,8 +483,8 @@
         faults.fail(SystemCall::connect, error, kForever, to(agent));
         watch(true);
         let_pass(std::chrono::milliseconds(200));
-        EXPECT_GE(faults.failed(SystemCall::connect), 2) << std::strerror(error);
-        EXPECT_LE(faults.failed(SystemCall::connect), 8) << std::strerror(error);
+        EXPECT_GE(faults.failure_count(SystemCall::connect), 2) << std::strerror(error);
+        EXPECT_LE(faults.failure_count(SystemCall::connect), 8) << std::strerror(error);
         faults.fail(SystemCall::connect, 0, 0);
         until([&] { return agent.requests.size() > before; });
         discovery.reset();
@@ -523,8 +525,8 @@
         const std::size_t before = received;
         peer.send_to(asio::buffer(bytes), peers.address());
         let_pass(std::chrono::milliseconds(200));
-        EXPECT_GE(faults.failed(SystemCall::receive), 2) << std::strerror(error);
-        EXPECT_LE(faults.failed(SystemCall::receive), 400) << std::strerror(error);
+        EXPECT_GE(faults.failure_count(SystemCall::receive), 2) << std::strerror(error);
+        EXPECT_LE(faults.failure_count(SystemCall::receive), 400) << std::strerror(error);
         faults.fail(SystemCall::receive, 0, 0);
         until([&] { return received == before + 1; });
     }
@@ -564,7 +566,7 @@
         caller.connect(tcp_of(agent_of_first));
         asio::write(caller, asio::buffer("\xff\xff\xff\xff", 4));  // the length of what follows
         until([&] { return rejected() == before + 1; });
-        EXPECT_EQ(faults.failed(SystemCall::accept), 1) << std::strerror(error);
+        EXPECT_EQ(faults.failure_count(SystemCall::accept), 1) << std::strerror(error);
     }
 }
 
@@ -576,8 +578,8 @@
     net::Udp::socket stranger(io, net::Udp::endpoint(asio::ip::address_v4::loopback(), 0));
     stranger.send_to(asio::buffer("x", 1), first.address());
     let_pass(std::chrono::milliseconds(200));
-    EXPECT_GE(faults.failed(SystemCall::receive), 1);
-    EXPECT_LE(faults.failed(SystemCall::receive), 4000);
+    EXPECT_GE(faults.failure_count(SystemCall::receive), 1);
+    EXPECT_LE(faults.failure_count(SystemCall::receive), 4000);
     faults.fail(SystemCall::receive, 0, 0);
     until([&] { return first.figures().view.present() == 2 && second.figures().view.present() == 2; });
 }
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -22,10 +22,10 @@
     // A body of which that much has come.
     std::shared_ptr<net::BodyBuffer> come(const std::string& bytes, std::optional<std::uint64_t> length) {
         auto body = std::make_shared<net::BodyBuffer>(budget, length);
-        EXPECT_GE(body->room(), bytes.size());
-        bytes.copy(body->space(), bytes.size());
-        body->added(bytes.size());
-        if (length == bytes.size()) body->finish();
+        EXPECT_GE(body->free_space(), bytes.size());
+        bytes.copy(body->write_pointer(), bytes.size());
+        body->commit(bytes.size());
+        if (length == bytes.size()) body->mark_complete();
         return body;
     }
     void until(const std::function<bool()>& reached) { run_until(io, reached); }
@@ -146,7 +146,7 @@
     const ExchangeId second = start();
     until([&] { return server.requests.size() == 1; });
     EXPECT_TRUE(upstream->cancel(second));
-    until([&] { return server.ended() == server.connections.size(); });
+    until([&] { return server.ended_count() == server.connections.size(); });
     EXPECT_EQ(upstream->stats().open, 0u);
     EXPECT_TRUE(ends.empty());
 }
@@ -161,9 +161,9 @@
         return server.connections.size() == 1 && server.connections[0]->parser->is_header_done() &&
                body->unread().empty();
     });
-    ASSERT_GE(body->room(), 3u);
-    std::string("ody").copy(body->space(), 3);
-    body->added(3);
+    ASSERT_GE(body->free_space(), 3u);
+    std::string("ody").copy(body->write_pointer(), 3);
+    body->commit(3);
     EXPECT_TRUE(upstream->cancel(exchange));
     until([&] { return server.requests.size() == 1; });
 }
@@ -177,7 +177,7 @@
     until([&] { return ends.size() == 1; });
     server.send(0, response("200 OK"));
     until([&] { return ends.size() == 2; });
-    let_rest(io);
+    wait_for_connection_reuse(io);
     start();
     until([&] { return server.requests.size() == 3; });
     EXPECT_EQ(server.connections.at(0)->requests, 2u);
@@ -189,7 +189,7 @@
     ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK")}; });
     EXPECT_EQ(one(server.endpoint()).outcome, Outcome::completed);
     const auto end = [&](bool reset) {  // and no turn of the loop for the sidecar to hear of it
-        let_rest(io);
+        wait_for_connection_reuse(io);
         const auto& last = server.connections.back();
         if (reset) last->socket.set_option(asio::socket_base::linger(true, 0));
         last->socket.close();
@@ -207,7 +207,7 @@
     ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK")}; });
     EXPECT_EQ(one(server.endpoint()).outcome, Outcome::completed);
     server.script = [](const auto&) { return Reply{"", true}; };
-    let_rest(io);
+    wait_for_connection_reuse(io);
     EXPECT_EQ(one(server.endpoint()).outcome, Outcome::connection_lost);
     EXPECT_EQ(server.requests.size(), 2u);
     EXPECT_EQ(server.connections.size(), 1u);
@@ -233,7 +233,7 @@
         return Reply{response("200 OK", "the next")};
     };
     EXPECT_EQ(one(server.endpoint()).response.body(), "the next");
-    until([&] { return server.ended() == 1; });
+    until([&] { return server.ended_count() == 1; });
     EXPECT_TRUE(server.connections.at(0)->ended);
     EXPECT_EQ(server.connections.at(0)->requests, 1u);
 }
@@ -242,7 +242,7 @@
     make({250, 20, 8});
     ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK")}; });
     EXPECT_EQ(one(server.endpoint()).outcome, Outcome::completed);
-    until([&] { return server.ended() == 1; });
+    until([&] { return server.ended_count() == 1; });
     EXPECT_EQ(upstream->stats().open, 0u);
 }
 
@@ -251,7 +251,7 @@
     ScriptedServer after(io, [](const auto&) { return Reply{response("200 OK", "new")}; });
     EXPECT_EQ(one(before.endpoint()).response.body(), "old");
     EXPECT_EQ(one(after.endpoint()).response.body(), "new");
-    until([&] { return before.ended() == 1; });
+    until([&] { return before.ended_count() == 1; });
 }
 
 // At the bound the connection idle longest makes room; where none is idle, nothing is sent.
@@ -266,7 +266,7 @@
     ping.message.method(http::verb::get);
     ping.message.target("/ping");
     upstream->start(kServer + 1, std::move(ping), [](Outcome, const auto&) {});
-    until([&] { return second.requests.size() == 1 && first.ended() == 1; });
+    until([&] { return second.requests.size() == 1 && first.ended_count() == 1; });
     EXPECT_EQ(upstream->stats().open, 1u);
     EXPECT_EQ(one(first.endpoint()).outcome, Outcome::not_sent);
     EXPECT_EQ(first.requests.size(), 1u);
