--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -196,7 +196,7 @@
     else
         admission.attempt_started();
     if (!request.attempts.empty()) retry_budget.withdraw();
-    if (endpoint.in_flight == 0) endpoint.activity.quiet_since = now;
+    if (endpoint.in_flight == 0) endpoint.activity.unresponsive_since = now;
     ++endpoint.in_flight;
     endpoints.join_subset(endpoint);
 
--- a/src/policy/endpoint.hpp
+++ b/src/policy/endpoint.hpp
@@ -44,7 +44,7 @@
     /// The last outcome like that of a server that has left.
     Millis suspected_at = kLongAgo;
     /// While attempts are in flight: since when there has been no response.
-    Millis quiet_since = 0;
+    Millis unresponsive_since = 0;
 };
 
 /// Kept by EndpointSet: where the server stands in its indexes.
@@ -74,8 +74,8 @@
     bool is_healthy() const { return outlier.health == Health::healthy; }
 
     /// Attempts have been in flight for longer than `length` without any response.
-    bool is_quiet_for(Millis length, Millis now) const {
-        return in_flight > 0 && now - activity.quiet_since > length;
+    bool is_unresponsive_for(Millis length, Millis now) const {
+        return in_flight > 0 && now - activity.unresponsive_since > length;
     }
 };
 
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -117,7 +117,7 @@
 void EndpointSelector::extend_subset(Selection& selection, double wanted) {
     const std::vector<Endpoint*>& active = in_.endpoints.active();
     if (active.empty()) return;
-    const double least_cost = in_.latencies.quickest_kind();
+    const double least_cost = in_.latencies.lowest_kind_mean();
     const std::vector<Endpoint*>& preferred = selection.candidates.preferred;
     for (int draws = kExtraDraws + static_cast<int>(wanted); draws > 0; --draws) {
         if (static_cast<double>(preferred.size()) >= wanted) return;
@@ -177,7 +177,7 @@
     return request.was_sent_to(endpoint.info.id) ||
            OutlierDetector::is_avoided_by(request.class_index, endpoint, now) ||
            in_.zones.is_unreachable(endpoint.info, now) ||
-           endpoint.is_quiet_for(request.request_class.latency_objective, now);
+           endpoint.is_unresponsive_for(request.request_class.latency_objective, now);
 }
 
 /// The relative latency expected, and the price of leaving the zone.
--- a/src/policy/latency_model.cpp
+++ b/src/policy/latency_model.cpp
@@ -42,7 +42,7 @@
     return blend(warming_up_.value(), endpoint, now);
 }
 
-double LatencyModel::quickest_kind() const {
+double LatencyModel::lowest_kind_mean() const {
     if (by_kind_.empty()) return kMinRelativeLatency;
     double quickest = 1;
     for (const auto& [kind, mean] : by_kind_)
--- a/src/policy/latency_model.hpp
+++ b/src/policy/latency_model.hpp
@@ -31,7 +31,7 @@
     double expected_warming_up(const Endpoint& endpoint, Millis now) const;
 
     /// The least of any kind, kMinRelativeLatency at least.
-    double quickest_kind() const;
+    double lowest_kind_mean() const;
 
 private:
     std::map<KindId, DecayingMean> by_kind_;
--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -50,7 +50,7 @@
     Activity& activity = endpoint.activity;
     if (is_response(outcome)) {
         activity.responded_at = now;
-        activity.quiet_since = now;
+        activity.unresponsive_since = now;
         parts_.zones.record_response(endpoint.info);
     }
     if (outcome == Outcome::completed) activity.accepted_at = std::max(activity.accepted_at, attempt.sent_at);
--- a/tests/policy/admission_controller_test.cpp
+++ b/tests/policy/admission_controller_test.cpp
@@ -158,14 +158,14 @@
     const RequestClass cheap = make_class(Idempotency::always);
     RequestClass valuable = make_class(Idempotency::never);
     valuable.priority_weight = 3;
-    EXPECT_LT(count_rejected_without_crowd(make_settings({cheap, valuable}), kNoTenant, 350), 50);
+    EXPECT_LT(count_rejected_without_overload(make_settings({cheap, valuable}), kNoTenant, 350), 50);
 }
 
 // A mean of few responses lies above the target by chance for seconds on end.
 TEST(AdmissionController, KeepsItsLimitWhereFewResponsesScatter) {
     Settings settings = make_settings();
     settings.fleet_size = 100;
-    EXPECT_LT(count_rejected_without_crowd(settings, kNoTenant, 430, 40), 30);
+    EXPECT_LT(count_rejected_without_overload(settings, kNoTenant, 430, 40), 30);
 }
 
 // What all sidecars sent to three zones, one cannot take; each would learn it from responses too late.
--- a/tests/policy/latency_model_test.cpp
+++ b/tests/policy/latency_model_test.cpp
@@ -19,7 +19,7 @@
 TEST(LatencyModel, ExpectsAQuickResponseOfAnUnknownKind) {
     LatencyModel model;
     EXPECT_EQ(model.expected(make_endpoint(0, 0), kNow), 0);
-    EXPECT_EQ(model.quickest_kind(), LatencyModel::kMinRelativeLatency);
+    EXPECT_EQ(model.lowest_kind_mean(), LatencyModel::kMinRelativeLatency);
 }
 
 TEST(LatencyModel, ExpectsOfAnUnknownServerWhatItsKindInItsZoneTakesElseItsKind) {
--- a/tests/policy/tenant_quotas_test.cpp
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -60,7 +60,7 @@
     Settings settings = make_settings({cheap, valuable});
     settings.tenant_quotas = {0.2, 0.8};
     settings.over_quota_weight = 0.1;
-    EXPECT_LT(count_rejected_without_crowd(settings, 0, 300), 50);
+    EXPECT_LT(count_rejected_without_overload(settings, 0, 300), 50);
 }
 
 TEST(TenantQuotas, CountNoRequestOfATenantWithinItsQuota) {
--- a/tests/support/policy_traffic.cpp
+++ b/tests/support/policy_traffic.cpp
@@ -94,8 +94,8 @@
     }
 }
 
-std::ptrdiff_t count_rejected_without_crowd(const Settings& settings, std::uint32_t tenant, Millis slow,
-                                            Millis interval) {
+std::ptrdiff_t count_rejected_without_overload(const Settings& settings, std::uint32_t tenant, Millis slow,
+                                               Millis interval) {
     PolicyHarness harness(settings);
     harness.deliver_list(ListKind::full, make_servers(kVariedServers));
     std::minstd_rand random(kVariedSeed);
--- a/tests/support/policy_traffic.hpp
+++ b/tests/support/policy_traffic.hpp
@@ -56,8 +56,8 @@
 /// Sends 2,000 requests, one each `interval`, to twelve servers. A quarter of the responses takes `slow`, the
 /// rest 90 ms: their mean shows no crowd.
 /// @return how many of the second thousand were never sent.
-std::ptrdiff_t count_rejected_without_crowd(const Settings& settings, std::uint32_t tenant, Millis slow,
-                                            Millis interval = kRequestInterval);
+std::ptrdiff_t count_rejected_without_overload(const Settings& settings, std::uint32_t tenant, Millis slow,
+                                               Millis interval = kRequestInterval);
 
 /// Lists servers 1 to `count`, of which the first has just started.
 void restart_first_server(PolicyHarness& harness, ServerId count);
