--- a/src/policy/settings_validation.cpp
+++ b/src/policy/settings_validation.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-void check(bool sound, const std::string& setting) {
-    if (!sound) throw std::invalid_argument("mothring: setting makes no sense: " + setting);
+void check(bool is_valid, const std::string& setting) {
+    if (!is_valid) throw std::invalid_argument("mothring: invalid setting: " + setting);
 }
 void check_not_negative(double value, const std::string& setting) {
     check(std::isfinite(value) && value >= 0, setting);
@@ -24,8 +24,8 @@
     check_not_negative(request_class.dedup_window, prefix + "dedup_window");
     check_not_negative(request_class.objective_per_effort, prefix + "aim_stretch");
     check_not_negative(request_class.priority_weight, prefix + "worth");
-    check(!request_class.zones || !request_class.zones->empty(), prefix + "zones (confined to none)");
-    check(!request_class.kinds || !request_class.kinds->empty(), prefix + "kinds (confined to none)");
+    check(!request_class.zones || !request_class.zones->empty(), prefix + "zones (empty list)");
+    check(!request_class.kinds || !request_class.kinds->empty(), prefix + "kinds (empty list)");
 }
 
 std::string indexed(const std::string& list, std::size_t index) {
@@ -35,7 +35,7 @@
 }  // namespace
 
 void validate(const Settings& settings) {
-    check(!settings.classes.empty(), "classes (none given)");
+    check(!settings.classes.empty(), "classes (empty list)");
     for (std::size_t i = 0; i < settings.classes.size(); ++i)
         validate_class(settings.classes[i], indexed("classes", i) + ".");
     check(settings.max_attempts >= 1, "max_attempts");
--- a/src/policy/settings_validation.hpp
+++ b/src/policy/settings_validation.hpp
@@ -1,12 +1,13 @@
 /// @file
-/// The checks of settings that are given at start.
+/// Validation of the settings that a balancer is created with.
 #pragma once
 
 #include "mothring/settings.hpp"
 
 namespace mothring {
 
-/// @throws std::invalid_argument naming the setting that makes no sense, by the name that operators know.
+/// Checks all settings.
+/// @throws std::invalid_argument for the first invalid setting, with the name that operators use for it.
 void validate(const Settings& settings);
 
 }  // namespace mothring
