--- a/src/policy/capacity_survey.cpp
+++ b/src/policy/capacity_survey.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Servers warm and fill up more slowly than this.
+/// Shorter than the time in which the warm-up or the load of a server changes noticeably.
 constexpr Millis kSurveyInterval = 100;
 
 struct KindSummary {
--- a/src/policy/capacity_survey.hpp
+++ b/src/policy/capacity_survey.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many warm servers the pool has, and what they carry.
+/// The number of warm servers that may receive requests, and the rate at which they complete attempts.
 #pragma once
 
 #include <map>
@@ -12,28 +12,30 @@
 
 namespace mothring {
 
-/// A summary over all servers, renewed once in kSurveyInterval at most. It makes no pass over the whole
-/// fleet: servers without completed attempts have carried nothing for this sidecar.
+/// Summarizes the capacity of all servers. The summary is refreshed at most once in kSurveyInterval. A
+/// refresh adds up the counters of EndpointSet and visits individually only servers that have completed
+/// attempts for this sidecar, are warming up or are ejected. Only while a zone is unreachable does it visit
+/// all active servers.
 class CapacitySurvey {
 public:
-    /// @param endpoints, outliers, zones  must outlive this.
+    /// @param endpoints, outliers, zones  must outlive this object.
     CapacitySurvey(const EndpointSet& endpoints, const OutlierDetector& outliers, const ZoneHealth& zones)
         : endpoints_(endpoints), outliers_(outliers), zones_(zones) {}
 
-    /// Renews the summary if it is due.
-    /// @return whether it was.
+    /// Refreshes the summary if it is older than kSurveyInterval or has been invalidated.
+    /// @return whether it was refreshed.
     bool refresh(Millis now);
 
-    /// Makes it due: a list has come, or a zone is out of reach.
+    /// Makes the next refresh() due at once, after a new endpoint list or the loss of a zone.
     void invalidate() { refreshed_at_ = kLongAgo; }
 
-    /// Warm servers in the pool: active, healthy, in a zone that is in reach.
+    /// Returns the number of warm servers that are active, healthy and in a reachable zone.
     double warm_in_pool() const { return warm_in_pool_; }
 
-    /// Attempts that a warm server completes for this sidecar in a millisecond, in the mean.
+    /// Returns the mean number of attempts that a warm server completes for this sidecar in a millisecond.
     double rate() const { return rate_; }
 
-    /// The same of one kind of machine; absent: it has no warm server.
+    /// Returns the same for one kind of machine; absent if the kind has no warm server.
     std::optional<double> rate_of(KindId kind) const;
 
 private:
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -8,21 +8,21 @@
 
 namespace {
 
-/// A change counts as notified this long after discovery had it, if a call has missed it.
+/// A change that a failed call to discovery has missed counts as notified this long after discovery had it.
 constexpr Millis kNotificationDelay = 6000;
 
 bool by_id(const Endpoint* left, const Endpoint* right) { return left->info.id < right->info.id; }
 
-/// Makes an endpoint a member of a sorted index, or not.
-void set_member(std::vector<Endpoint*>& index, Endpoint& endpoint, bool belongs) {
-    if (belongs && (index.empty() || by_id(index.back(), &endpoint))) {
+/// Inserts an endpoint into a sorted index if `is_included`, and erases it from the index otherwise.
+void set_member(std::vector<Endpoint*>& index, Endpoint& endpoint, bool is_included) {
+    if (is_included && (index.empty() || by_id(index.back(), &endpoint))) {
         index.push_back(&endpoint);
         return;
     }
     const auto position = std::lower_bound(index.begin(), index.end(), &endpoint, by_id);
     const bool is_member = position != index.end() && *position == &endpoint;
-    if (belongs && !is_member) index.insert(position, &endpoint);
-    if (!belongs && is_member) index.erase(position);
+    if (is_included && !is_member) index.insert(position, &endpoint);
+    if (!is_included && is_member) index.erase(position);
 }
 
 }  // namespace
@@ -47,7 +47,8 @@
     std::erase_if(warming_up_, [&](const Endpoint* endpoint) { return !is_warming_up(*endpoint, now); });
 
     std::vector<ServerId> gone;
-    // In a large fleet changes are many, and each is of few servers: the others stay where they are.
+    // A large fleet has many incremental lists, each of a few servers. Only those servers are indexed again,
+    // as a pass over all servers for each list would cost too much.
     if (list.kind == ListKind::incremental) {
         for (const EndpointInfo& info : list.servers) {
             Endpoint* const endpoint = find(info.id);
@@ -92,8 +93,9 @@
 
 bool EndpointSet::is_known_present(const Endpoint& endpoint, Millis now) const {
     if (!is_stale(now)) return true;
-    // Whoever accepted work within the delay was not draining then, and a drain begun since does not count as
-    // notified yet. Whoever has failed since the list was true may have been gone in between.
+    // A server that completed an attempt sent within the last kNotificationDelay was not draining at that
+    // time, and a drain that began later does not count as notified yet. A server that has failed since the
+    // list was last up to date may have been removed in the meantime.
     return endpoint.activity.suspected_at < stale_at_ - kNotificationDelay &&
            now < endpoint.activity.accepted_at + kNotificationDelay;
 }
--- a/src/policy/endpoint_set.hpp
+++ b/src/policy/endpoint_set.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The servers that discovery lists, and the subset of them that this sidecar uses.
+/// The servers of the endpoint list and the subset of them that this sidecar uses.
 #pragma once
 
 #include <cstddef>
@@ -12,46 +12,51 @@
 
 namespace mothring {
 
-/// Owns the servers and the indexes over them. A server stays while it is listed or has attempts in flight.
-/// In the indexes servers are in the order of their identifiers, so that equal events give equal choices.
+/// Stores the known servers and the indexes over them. A server is kept while it is listed or has attempts in
+/// flight. The indexes are sorted by server identifier, so that equal sequences of events lead to equal
+/// decisions.
 class EndpointSet {
 public:
     using Map = std::map<ServerId, Endpoint>;
 
-    /// @param settings  must outlive this.
+    /// @param settings  must outlive this object.
     explicit EndpointSet(const Settings& settings) : settings_(settings) {}
 
-    /// Before the entries of a whole list: no server is listed until one of them says so.
+    /// Marks every server as not listed. Called before the entries of a full list are applied.
     void unlist_all();
 
-    /// What an entry of a list has changed.
+    /// The effect of one entry of the endpoint list.
     struct Update {
         Endpoint& endpoint;
-        /// It is new, or another process under the same name: nothing known of the last one holds.
+        /// The server is new, or a new process runs under its name: the state recorded of the previous
+        /// process does not apply to it.
         bool is_new_process = false;
     };
-    /// Takes an entry of a list. Once all are taken, update_indexes() has to follow.
+    /// Applies an entry of the endpoint list. The caller calls update_indexes() after the last entry.
     Update update(const EndpointInfo& info);
 
-    /// Brings the indexes up to date after a list's entries.
-    /// @return the servers that are gone.
+    /// Updates the indexes after the entries of `list` have been applied.
+    /// @return the servers that were erased.
     std::vector<ServerId> update_indexes(const EndpointList& list, Millis now);
 
-    /// Drops a server that is not listed and has no attempt in flight any more.
-    /// @return whether it is gone.
+    /// Erases a server that is not listed and has no attempt in flight.
+    /// @return whether it was erased.
     bool forget_if_gone(ServerId id);
 
-    /// From this time on, changes that the list lacks count as notified.
+    /// Sets the time from which changes that the known list lacks count as notified.
     void set_stale_at(Millis time) { stale_at_ = time; }
+    /// Returns whether changes that the known list lacks count as notified.
     bool is_stale(Millis now) const { return now >= stale_at_; }
 
-    /// Whether a server is known to be there and not draining, although the list may be stale.
+    /// Returns whether a server is known to be running and not draining; always true while the list is not
+    /// stale.
     bool is_known_present(const Endpoint& endpoint, Millis now) const;
 
-    /// Puts a server into the subset.
+    /// Adds a server to the subset.
     void join_subset(Endpoint& endpoint);
-    /// Takes a server out of the subset; prune_subset() drops it from the index.
+    /// Removes a server from the subset; its index entry remains until prune_subset().
     static void leave_subset(Endpoint& endpoint) { endpoint.index.in_subset = false; }
+    /// Erases the index entries of servers that have left the subset.
     void prune_subset();
 
     /// Counts a completed attempt.
@@ -60,21 +65,21 @@
     bool is_warming_up(const Endpoint& endpoint, Millis now) const;
     bool is_active_and_warm(const Endpoint& endpoint, Millis now) const;
 
-    /// Null: not known.
+    /// Returns the server, or null if it is not known.
     Endpoint* find(ServerId id);
     Endpoint& at(ServerId id) { return endpoints_.at(id); }
     const Endpoint& at(ServerId id) const { return endpoints_.at(id); }
 
     const Map& all() const { return endpoints_; }
-    /// Listed as active.
+    /// The servers that are listed as active.
     const std::vector<Endpoint*>& active() const { return active_; }
-    /// How many are listed as active, by kind of machine.
+    /// The number of servers that are listed as active, by kind of machine.
     const std::map<KindId, int>& active_by_kind() const { return active_by_kind_; }
-    /// Active and warming up when last listed.
+    /// The active servers that were warming up when the indexes were last updated. Some may be warm by now.
     const std::vector<Endpoint*>& warming_up() const { return warming_up_; }
-    /// The subset in use, after prune_subset().
+    /// The subset in use. Call prune_subset() first: until then it may hold servers that have left.
     const std::vector<Endpoint*>& subset() const { return subset_; }
-    /// With a completed attempt.
+    /// The servers that have completed at least one attempt.
     const std::vector<Endpoint*>& with_completions() const { return with_completions_; }
 
 private:
--- a/src/policy/latency_model.cpp
+++ b/src/policy/latency_model.cpp
@@ -6,11 +6,13 @@
 
 namespace {
 
-/// Means over many servers follow this many times the samples, and the time, of those of one server.
+// Pooled means cover many servers, so they average over more samples and a longer time than the mean of one
+// server.
 constexpr double kPooledSamples = 5 * kMeanSamples;
 constexpr Millis kPooledWindow = 4 * kRateWindow;
 
-/// A server's own mean, as far as it has completed attempts of late, else the prior.
+/// Returns the mean of `prior` and the server's own mean, weighted with kPriorResponses and with the number
+/// of the server's recently completed attempts.
 double blend(double prior, const Endpoint& endpoint, Millis now) {
     const double own_responses = endpoint.completed.value_at(now);
     const double own_weight_times_difference =
@@ -32,9 +34,9 @@
 }
 
 double LatencyModel::expected(const Endpoint& endpoint, Millis now) {
-    const auto of_place = by_zone_and_kind_.find({endpoint.info.zone, endpoint.info.kind});
-    if (of_place != by_zone_and_kind_.end()) return blend(of_place->second.value(), endpoint, now);
-    // A kind with no response yet counts as quick from here on, so that it is tried.
+    const auto in_zone = by_zone_and_kind_.find({endpoint.info.zone, endpoint.info.kind});
+    if (in_zone != by_zone_and_kind_.end()) return blend(in_zone->second.value(), endpoint, now);
+    // A kind without a response gets an entry with a mean of 0, which makes the selector try it.
     return blend(by_kind_[endpoint.info.kind].value(), endpoint, now);
 }
 
@@ -44,10 +46,10 @@
 
 double LatencyModel::lowest_kind_mean() const {
     if (by_kind_.empty()) return kMinRelativeLatency;
-    double quickest = 1;
+    double lowest = 1;
     for (const auto& [kind, mean] : by_kind_)
-        quickest = std::min(quickest, std::max(kMinRelativeLatency, mean.value()));
-    return quickest;
+        lowest = std::min(lowest, std::max(kMinRelativeLatency, mean.value()));
+    return lowest;
 }
 
 }  // namespace mothring
--- a/src/policy/latency_model.hpp
+++ b/src/policy/latency_model.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How long responses take, as shares of their latency objectives.
+/// A model of the servers' relative latencies: latencies divided by the latency objective of the request.
 #pragma once
 
 #include <map>
@@ -10,27 +10,31 @@
 
 namespace mothring {
 
-/// Relative latencies of each server, of each kind of machine in each zone, and of each kind. A sidecar with
-/// little traffic meets a server too seldom to know it, but knows its kind, and a crowded zone from a free
-/// one.
+/// Estimates the relative latency of a server from the means of the server, of its kind of machine in its
+/// zone, and of its kind. A sidecar with little traffic sends too few attempts to one server for a mean of
+/// that server alone; the pooled means still tell slow kinds from fast ones and overloaded zones from idle
+/// ones.
 class LatencyModel {
 public:
-    /// Latencies below this share of the objective are all alike.
+    /// Relative latencies below this value are treated as equal.
     static constexpr double kMinRelativeLatency = 0.05;
 
-    /// Takes the relative latency of an attempt at a server.
+    /// Records the relative latency of an attempt at a server.
     void record(Endpoint& endpoint, double relative_latency, Millis now);
-    /// Takes that of an attempt at a server that is warming up.
+    /// Records the relative latency of an attempt at a server that is warming up, in the pooled mean of all
+    /// such servers.
     void record_warming_up(double relative_latency, Millis now);
 
-    /// What is expected of a server: its own mean as far as it has responses of late, else that of its kind
-    /// in its zone, else that of its kind.
+    /// Returns the relative latency that is expected of a server. The server's own mean is weighted by the
+    /// number of its recent responses; the rest of the weight goes to the mean of its kind in its zone or, if
+    /// that has no response, to the mean of its kind.
     double expected(const Endpoint& endpoint, Millis now);
 
-    /// What is expected of a server that is warming up: its own mean, else that of all such servers.
+    /// Returns the relative latency that is expected of a server that is warming up. The server's own mean is
+    /// weighted as in expected(); the rest of the weight goes to the mean of all servers that are warming up.
     double expected_warming_up(const Endpoint& endpoint, Millis now) const;
 
-    /// The least of any kind, kMinRelativeLatency at least.
+    /// Returns the lowest mean of any kind of machine, but at least kMinRelativeLatency.
     double lowest_kind_mean() const;
 
 private:
--- a/src/policy/parameters.hpp
+++ b/src/policy/parameters.hpp
@@ -1,34 +1,37 @@
 /// @file
-/// Figures that several parts of the policy share.
+/// Constants that several classes of the policy share.
 #pragma once
 
 #include "mothring/types.hpp"
 
 namespace mothring {
 
-/// Later than any time.
+/// A time after every time of an event.
 constexpr Millis kNever = 1e15;
-/// Earlier than any time.
+/// A time before every time of an event.
 constexpr Millis kLongAgo = -1e15;
 
-/// Attempts whose outcomes are kept of each server (io.l5d.successRate as its authors describe it).
+/// The number of attempts whose outcomes are stored for each server, as in Linkerd's failure accrual policy
+/// io.l5d.successRate.
 constexpr std::size_t kWindowSize = 20;
-/// How long a server that has failed, or a zone that is out of reach, is sent nothing.
+/// The time for which an ejected server receives no attempts and an unreachable zone is avoided.
 constexpr Millis kEjectionTime = 10000;
 
-/// Time constant of means and rates: long against the gaps between requests, short against a warm-up.
+/// The time constant of decaying means and rates. It is long compared with the gaps between requests and
+/// short compared with a server's warm-up.
 constexpr Millis kRateWindow = 5000;
-/// Means follow this many samples where they come sooner than that.
+/// The number of samples over which a mean averages if they arrive faster than its time constant.
 constexpr double kMeanSamples = kWindowSize / 2.0;
 
-/// A server's own responses that weigh as much as what is known of servers like it.
+/// The number of responses at which a server's own figures weigh as much as those of comparable servers.
 constexpr double kPriorResponses = 3;
 
-/// The mean latency, as a share of its objective, to which admission keeps the attempts in flight: more makes
-/// the slower responses late, less rejects where service alone takes that long.
+/// The mean relative latency at which admission control holds the attempts in flight. With a higher target
+/// the slower responses miss the objective; with a lower one requests are rejected even if their service time
+/// alone takes that long.
 constexpr double kTargetRelativeLatency = 0.46;
 
-/// Attempts in flight at one server that all sidecars together are always allowed.
+/// The number of attempts in flight at one server that all sidecars together may always have.
 constexpr double kMinInFlightPerServer = 4;
 
 }  // namespace mothring
--- a/src/policy/random.hpp
+++ b/src/policy/random.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Random numbers that are the same with every standard library.
+/// Pseudo-random numbers that are the same with every standard library, so that equal seeds give equal
+/// decisions everywhere.
 #pragma once
 
 #include <cstddef>
@@ -13,15 +14,15 @@
 public:
     explicit Random(std::uint64_t seed) : state_(seed) {}
 
-    /// Evenly distributed from 0 to 1, 1 not included.
+    /// Returns a number that is uniformly distributed in [0, 1).
     double unit() {
-        // As many bits as a double has.
+        // Keeps the 53 bits of precision that a double has.
         constexpr int kUnusedBits = 11;
         constexpr double kUnit = 0x1.0p-53;
         return static_cast<double>(next() >> kUnusedBits) * kUnit;
     }
 
-    /// Evenly distributed from 0 to `count`, `count` not included.
+    /// Returns an integer that is uniformly distributed in [0, count).
     std::size_t below(std::size_t count) {
         return static_cast<std::size_t>(unit() * static_cast<double>(count));
     }
@@ -35,7 +36,7 @@
         return mixed ^ (mixed >> kThirdShift);
     }
 
-    // The constants of the generator's definition.
+    // The constants of the SplitMix64 definition.
     static constexpr std::uint64_t kIncrement = 0x9e3779b97f4a7c15;
     static constexpr std::uint64_t kFirstMultiplier = 0xbf58476d1ce4e5b9;
     static constexpr std::uint64_t kSecondMultiplier = 0x94d049bb133111eb;
@@ -46,7 +47,7 @@
     std::uint64_t state_;
 };
 
-/// Draws one of `count` indexes with probabilities in proportion to `weight(index)`.
+/// Returns a random index below `count`. The probability of each index is proportional to `weight(index)`.
 std::size_t draw_weighted(Random& random, std::size_t count, const auto& weight) {
     double sum = 0;
     std::vector<double> weights(count);
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the policy keeps of each request.
+/// The state that the policy stores for each request.
 #pragma once
 
 #include <algorithm>
@@ -13,37 +13,38 @@
 
 /// An attempt, in flight or ended.
 struct Attempt {
-    /// Where it was sent, as listed then.
+    /// The entry of the endpoint list for its server when the attempt was sent.
     EndpointInfo server;
     Millis sent_at = 0;
     bool in_flight = true;
     bool may_have_run = true;
-    /// The half-open trial of an ejected server.
+    /// Whether it is the half-open trial of an ejected server.
     bool is_trial = false;
-    /// Its server was warming up when it was sent.
+    /// Whether its server was warming up when the attempt was sent.
     bool to_warming_up = false;
 };
 
-/// A request that has no final answer yet, or attempts in flight.
+/// A request that has no final answer yet or still has attempts in flight.
 struct Request {
     RequestId id = 0;
     std::uint32_t class_index = 0;
-    /// Its class, with the objective grown by its expected work.
+    /// Its class, with the latency objective extended for the request's expected work.
     RequestClass request_class;
-    /// The client's, not the objective: giving up at that would make clients retry what a server still works
-    /// on.
+    /// The time at which the client gives up. The request does not end at its latency objective, as the
+    /// client would then retry while a server still works on the request.
     Millis deadline = 0;
-    /// Counts requests in the order of their arrival.
+    /// A number that grows with each request that arrives.
     std::uint64_t arrival = 0;
     std::uint64_t affinity_hash = 0;
-    /// Beyond its tenant's quota.
+    /// Whether the request exceeds its tenant's quota.
     bool over_quota = false;
     bool is_retry = false;
     bool has_final_answer = false;
     bool response_started = false;
     bool body_discarded = false;
-    /// Waiting for capacity, it is answered at hold_until; whether that timer is set.
+    /// Whether the timer for hold_until is set.
     bool has_hold_timer = false;
+    /// The time until which the request may wait for capacity; after it the request gets a final answer.
     Millis hold_until = 0;
     std::vector<Attempt> attempts;
 
@@ -52,7 +53,7 @@
                            [](const Attempt& attempt) { return attempt.in_flight; });
     }
 
-    /// The first attempt that may have run; null: none.
+    /// Returns the first attempt that may have run, or null if there is none.
     const Attempt* first_possible_run() const {
         const auto found = std::find_if(attempts.begin(), attempts.end(),
                                         [](const Attempt& attempt) { return attempt.may_have_run; });
--- a/src/policy/statistics.hpp
+++ b/src/policy/statistics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Means and sums in which older samples count less.
+/// Exponentially decaying means and sums.
 #pragma once
 
 #include <algorithm>
@@ -11,12 +11,13 @@
 
 namespace mothring {
 
-/// What is left at `now` of a weight of 1 at `since`, with exponential decay.
+/// Returns the weight at `now` of a sample that had weight 1 at `since`, with exponential decay.
 inline double decay(Millis since, Millis now, Millis time_constant) {
     return std::exp((since - now) / time_constant);
 }
 
-/// A mean of about the last `samples`; where they are rare, of those within the time constant.
+/// An exponentially decaying mean. It averages over about the last `samples` samples or, if fewer arrive
+/// within the time constant, over those that do.
 class DecayingMean {
 public:
     explicit DecayingMean(double initial = 0) : value_(initial) {}
@@ -34,25 +35,27 @@
     Millis updated_at_ = kLongAgo;
 };
 
-/// A decaying mean that knows its standard error.
+/// A decaying mean with its standard error.
 class MeanWithError {
 public:
     explicit MeanWithError(double samples) : samples_(samples) {}
 
     double value() const { return mean_.value(); }
 
-    /// When a sample last came with enough others before it.
+    /// Returns the time of the last sample if the mean has enough samples for a standard error, and kLongAgo
+    /// if it has too few.
     Millis known_at() const { return known_at_; }
 
     void add(double sample, Millis now, Millis time_constant) {
         ++count_;
-        const double weighed = std::min(samples_, count_);  // the first few weigh alike
-        mean_.add(sample, now, weighed, time_constant);
-        squares_.add(sample * sample, now, weighed, time_constant);
+        const double effective_samples = std::min(samples_, count_);  // gives the first samples equal weights
+        mean_.add(sample, now, effective_samples, time_constant);
+        squares_.add(sample * sample, now, effective_samples, time_constant);
         if (count_ >= samples_) known_at_ = now;
     }
 
-    /// The standard error; infinite until there are enough samples, as a mean of one shows no scatter.
+    /// Returns the standard error. It is infinite until there are enough samples, because the variance of
+    /// very few samples says nothing (that of a single sample is 0).
     double error() const {
         if (count_ < samples_) return std::numeric_limits<double>::infinity();
         const double variance = std::max(0.0, squares_.value() - value() * value());
@@ -67,14 +70,15 @@
     Millis known_at_ = kLongAgo;
 };
 
-/// A sum whose amounts lose their weight exponentially.
+/// A sum in which the weight of each amount decays exponentially.
 class DecayingSum {
 public:
     explicit DecayingSum(Millis time_constant) : time_constant_(time_constant) {}
 
-    /// As of the last amount added.
+    /// Returns the sum at the time of the last addition.
     double value() const { return value_; }
 
+    /// Returns the sum, decayed until `now`.
     double value_at(Millis now) const {
         return value_ > 0 ? value_ * decay(updated_at_, now, time_constant_) : 0;
     }
--- a/src/policy/success_window.hpp
+++ b/src/policy/success_window.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The outcomes of a server's last attempts.
+/// A sliding window of the outcomes of a server's last attempts.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace mothring {
 
-/// A sliding window over the last kWindowSize outcomes.
+/// Stores whether each of the last kWindowSize attempts succeeded, and computes success rates from them.
 class SuccessWindow {
 public:
     void add(std::uint32_t class_index, bool success) {
@@ -29,14 +29,16 @@
                                                  [](const Result& result) { return result.success; }));
     }
 
-    /// The success rate of one class; 0 where it has no outcome in the window.
+    /// Returns the success rate of one class, or 0 if the window has no outcome of the class.
     double success_rate_of(std::uint32_t class_index) const {
         return success_rate(1, [=](const Result& result) { return result.class_index == class_index; });
     }
 
-    /// The success rate of all classes but one; 0 where they have fewer than `least` outcomes in the window.
-    double success_rate_without(std::uint32_t class_index, double least) const {
-        return success_rate(least, [=](const Result& result) { return result.class_index != class_index; });
+    /// Returns the success rate of all classes but one, or 0 if the window has fewer than `min_outcomes`
+    /// outcomes of them.
+    double success_rate_without(std::uint32_t class_index, double min_outcomes) const {
+        return success_rate(min_outcomes,
+                            [=](const Result& result) { return result.class_index != class_index; });
     }
 
 private:
@@ -45,15 +47,15 @@
         bool success;
     };
 
-    double success_rate(double least, const auto& counts) const {
+    double success_rate(double min_outcomes, const auto& is_counted) const {
         double successes = 0;
-        double all = 0;
+        double outcomes = 0;
         for (const Result& result : results_) {
-            if (!counts(result)) continue;
-            ++all;
+            if (!is_counted(result)) continue;
+            ++outcomes;
             successes += result.success;
         }
-        return all >= least ? successes / all : 0;
+        return outcomes >= min_outcomes ? successes / outcomes : 0;
     }
 
     std::deque<Result> results_;
--- a/src/policy/warm_up.hpp
+++ b/src/policy/warm_up.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How far a server that has started is through its warm-up.
+/// The progress of a server's warm-up after its start.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace mothring {
 
-/// From 0, at its start, to 1, when it is warm.
+/// Returns the progress of a server's warm-up, from 0 at its start to 1 when it is warm.
 inline double warm_up_progress(const EndpointInfo& server, const Settings& settings, Millis now) {
     if (settings.slow_start_window <= 0 || server.started_at <= 0) return 1;
     return std::clamp((now - server.started_at) / settings.slow_start_window, 0.0, 1.0);
