--- a/tests/policy/endpoint_set_test.cpp
+++ b/tests/policy/endpoint_set_test.cpp
@@ -47,7 +47,7 @@
     harness.deliver_list(ListKind::incremental, {{2, 0, 0, EndpointState::active, harness.now - 19999}});
     harness.now += 10;
     use_many_servers(harness, 10);
-    EXPECT_GT(count_reaching(harness, 60, 2), 0);
+    EXPECT_GT(count_sent_concurrently_to(harness, 60, 2), 0);
 }
 
 TEST(EndpointSet, HoldsRequestsWhileTheListIsEmpty) {
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -43,7 +43,7 @@
         PolicyHarness harness(non_idempotent_settings());
         harness.deliver_list(ListKind::full, make_servers(2));
         EXPECT_EQ(drive_traffic(harness, 60, 2, Outcome::failed, failures), failures);
-        EXPECT_EQ(count_reaching(harness, 60, 2) == 0, failures == 3) << failures;
+        EXPECT_EQ(count_sent_concurrently_to(harness, 60, 2) == 0, failures == 3) << failures;
     }
 }
 
@@ -53,7 +53,7 @@
     // Two failures, then more than twenty successes, three times over.
     for (int round = 0; round < 3; ++round) {
         EXPECT_EQ(drive_traffic(harness, 60, 2, Outcome::failed, 2), 2);
-        EXPECT_GT(count_reaching(harness, 150, 2), 20) << round;
+        EXPECT_GT(count_sent_concurrently_to(harness, 150, 2), 20) << round;
     }
 }
 
--- a/tests/support/policy_traffic.cpp
+++ b/tests/support/policy_traffic.cpp
@@ -79,7 +79,7 @@
     return ended;
 }
 
-int count_reaching(PolicyHarness& harness, int requests, ServerId server) {
+int count_sent_concurrently_to(PolicyHarness& harness, int requests, ServerId server) {
     return drive_traffic(harness, requests, server, Outcome::completed);
 }
 
--- a/tests/support/policy_traffic.hpp
+++ b/tests/support/policy_traffic.hpp
@@ -45,7 +45,7 @@
 
 /// Sends requests, three at a time, each completed.
 /// @return how many attempts reached a server.
-int count_reaching(PolicyHarness& harness, int requests, ServerId server);
+int count_sent_concurrently_to(PolicyHarness& harness, int requests, ServerId server);
 
 /// Sends so many requests at once, completed quickly, so that the sidecar uses many servers.
 void use_many_servers(PolicyHarness& harness, int requests);
