--- a/tests/support/policy_harness.cpp
+++ b/tests/support/policy_harness.cpp
@@ -11,10 +11,10 @@
 constexpr std::uint32_t kMaxAttempts = 4;
 constexpr double kSlowStartMinCapacity = 0.2;
 constexpr Millis kSlowStartWindow = 20000;
-/// Longer than any request of the tests may take.
+/// Longer than the time to the deadline of any request in the tests.
 constexpr Millis kLongerThanAnyRequest = 60000;
 
-/// The first attempt of a request that may have run; null: none.
+/// Returns the first attempt of a request that may have run, or null if there is none.
 const PolicyHarness::TrackedAttempt* first_possible_run(const PolicyHarness::TrackedRequest& request) {
     for (const PolicyHarness::TrackedAttempt& attempt : request.attempts)
         if (attempt.may_have_run) return &attempt;
@@ -98,16 +98,16 @@
         end_numbered_attempt(id, number, outcome);
         return;
     }
-    FAIL() << "nothing in flight for request " << id;
+    FAIL() << "request " << id << " has no attempt in flight";
 }
 
 void PolicyHarness::end_numbered_attempt(RequestId id, std::uint32_t number, Outcome outcome) {
     TrackedRequest& request = requests.at(id);
     TrackedAttempt& attempt = request.attempts.at(number);
     attempt.in_flight = false;
-    const bool overload_proves_nothing = outcome != Outcome::overloaded || settings.overloaded_may_have_run;
+    const bool overload_allows_run = outcome != Outcome::overloaded || settings.overloaded_may_have_run;
     attempt.may_have_run =
-        overload_proves_nothing && outcome != Outcome::connect_failed && outcome != Outcome::not_sent;
+        overload_allows_run && outcome != Outcome::connect_failed && outcome != Outcome::not_sent;
     if (outcome == Outcome::completed && !is_closed(request)) ++request.answers;
     deliver(AttemptEnded{id, number, outcome, now - attempt.sent_at, is_closed(request)});
 }
@@ -120,8 +120,8 @@
 
 void PolicyHarness::advance(Millis span) {
     const Millis until = now + span;
-    bool was_due = true;
-    while (was_due) was_due = advance_to_next_event(until);
+    bool was_delivered = true;
+    while (was_delivered) was_delivered = advance_to_next_event(until);
 }
 
 bool PolicyHarness::advance_to_next_event(Millis until) {
@@ -172,7 +172,7 @@
 void PolicyHarness::expect_all_answered() {
     advance(kLongerThanAnyRequest);
     for (const auto& [id, request] : requests)
-        EXPECT_TRUE(is_closed(request)) << "rule 1: request " << id << " unanswered";
+        EXPECT_TRUE(is_closed(request)) << "request " << id << " got no final answer";
     EXPECT_EQ(balancer.gauges().requests, 0U);
 }
 
@@ -202,24 +202,24 @@
         EXPECT_TRUE(request_class.idempotency == Idempotency::always ||
                     (request_class.idempotency == Idempotency::with_key &&
                      request_class.dedup_scope == DedupScope::all))
-            << "rule 2: rejected after a possible run";
+            << "rejected after an attempt that may have run, although a repeat is not safe";
     }
     request.rejected = true;
     record_answer(request);
 }
 
 void PolicyHarness::record_answer(TrackedRequest& request) {
-    EXPECT_FALSE(is_closed(request)) << "rule 1: a second final answer";
-    EXPECT_LE(now, std::max(request.deadline, stalled_until)) << "rule 1: too late an answer";
+    EXPECT_FALSE(is_closed(request)) << "second final answer, or answer to a client that has left";
+    EXPECT_LE(now, std::max(request.deadline, stalled_until)) << "final answer after the deadline";
     ++request.answers;
 }
 
 void PolicyHarness::check_send(const SendAttempt& send) {
     TrackedRequest& request = requests.at(send.id);
     const EndpointInfo& server = servers.at(send.server);
-    EXPECT_FALSE(is_closed(request)) << "rule 1: sent after the final answer";
-    EXPECT_LT(request.attempts.size(), settings.max_attempts) << "too many attempts";
-    EXPECT_EQ(server.state, EndpointState::active) << "rule 3: sent to a draining or gone server";
+    EXPECT_FALSE(is_closed(request)) << "attempt sent after the final answer, or after the client left";
+    EXPECT_LT(request.attempts.size(), settings.max_attempts) << "more attempts than max_attempts";
+    EXPECT_EQ(server.state, EndpointState::active) << "attempt sent to a draining or removed server";
     check_placement(request, server);
     check_repeat(request, server);
     request.attempts.push_back({send.server, now, send.deadline > 0 ? send.deadline : request.deadline});
@@ -227,11 +227,13 @@
 
 void PolicyHarness::check_placement(const TrackedRequest& request, const EndpointInfo& server) const {
     for (std::size_t index = 0; index < settings.classes.size(); ++index) {
-        // A class that nobody knows may be any of those known.
+        // A request of an unknown class may belong to any of the known classes, so all their limits apply.
         const bool is_known = request.class_index < settings.classes.size();
         if (is_known && index != request.class_index) continue;
-        EXPECT_TRUE(permits(settings.classes[index].zones, server.zone)) << "placement: zone " << server.zone;
-        EXPECT_TRUE(permits(settings.classes[index].kinds, server.kind)) << "placement: kind " << server.kind;
+        EXPECT_TRUE(permits(settings.classes[index].zones, server.zone))
+            << "class not permitted in zone " << server.zone;
+        EXPECT_TRUE(permits(settings.classes[index].kinds, server.kind))
+            << "class not permitted on kind " << server.kind;
     }
 }
 
@@ -240,17 +242,19 @@
         check_repeat_of(attempt, request.request_class, server);
     const TrackedAttempt* const first = first_possible_run(request);
     if (first && request.request_class.idempotency == Idempotency::with_key) {
-        EXPECT_LT(now, first->sent_at + request.request_class.dedup_window) << "rule 2: after the window";
+        EXPECT_LT(now, first->sent_at + request.request_class.dedup_window)
+            << "repeated after the deduplication window";
     }
 }
 
 void PolicyHarness::check_repeat_of(const TrackedAttempt& attempt, const RequestClass& request_class,
                                     const EndpointInfo& server) const {
     if (attempt.in_flight) {
-        EXPECT_TRUE(settings.may_hedge) << "two attempts in flight";
+        EXPECT_TRUE(settings.may_hedge) << "two attempts in flight without may_hedge";
     }
     if (!attempt.may_have_run) return;
-    EXPECT_NE(request_class.idempotency, Idempotency::never) << "rule 2: sent again after a possible run";
+    EXPECT_NE(request_class.idempotency, Idempotency::never)
+        << "non-idempotent request repeated after an attempt that may have run";
     if (request_class.idempotency != Idempotency::with_key) return;
     check_dedup_scope(request_class.dedup_scope, servers.at(attempt.server), server);
 }
@@ -258,10 +262,10 @@
 void PolicyHarness::check_dedup_scope(DedupScope scope, const EndpointInfo& before,
                                       const EndpointInfo& server) {
     if (scope == DedupScope::zone) {
-        EXPECT_EQ(server.zone, before.zone) << "rule 2: zone";
+        EXPECT_EQ(server.zone, before.zone) << "repeated outside the deduplication scope (zone)";
     }
     if (scope == DedupScope::cell) {
-        EXPECT_EQ(server.cell, before.cell) << "rule 2: cell";
+        EXPECT_EQ(server.cell, before.cell) << "repeated outside the deduplication scope (cell)";
     }
 }
 
--- a/tests/support/policy_traffic.cpp
+++ b/tests/support/policy_traffic.cpp
@@ -10,20 +10,20 @@
 namespace {
 
 constexpr int kRequestsAtOnce = 3;
-/// Requests that fill the windows of all servers of a small fleet.
+/// The number of requests that fills the success windows of all servers of a small fleet.
 constexpr int kRequestsToFillWindows = 240;
-constexpr Millis kQuickResponse = 10;
-constexpr Millis kVeryQuickResponse = 5;
-constexpr Millis kOverloadedResponse = 700;
+constexpr Millis kFastLatency = 10;
+constexpr Millis kVeryFastLatency = 5;
+constexpr Millis kOverloadedLatency = 700;
 constexpr int kOverloadRounds = 6;
 constexpr Millis kOverloadTimeLeft = 2000;
 
-// Responses that vary without a crowd.
+// Traffic whose latencies vary although no server is overloaded.
 constexpr ServerId kVariedServers = 12;
 constexpr int kVariedRequests = 2000;
 constexpr Millis kVariedTimeLeft = 2000;
-constexpr Millis kVariedUsualResponse = 90;
-constexpr int kOneSlowOf = 4;
+constexpr Millis kVariedUsualLatency = 90;
+constexpr int kResponsesPerSlowOne = 4;
 constexpr std::uint32_t kVariedSeed = 7;
 
 }  // namespace
@@ -48,7 +48,7 @@
 ServerId run_request(PolicyHarness& harness, Outcome outcome, Millis after, std::uint32_t class_index) {
     const RequestId id = harness.start_request(class_index);
     if (!harness.is_in_flight(id)) {
-        ADD_FAILURE() << "not sent";
+        ADD_FAILURE() << "no attempt was sent for request " << id;
         return 0;
     }
     const ServerId server = harness.server_of(id);
@@ -59,22 +59,22 @@
 int count_sent_to(PolicyHarness& harness, int requests, ServerId server) {
     int hits = 0;
     for (int i = 0; i < requests; ++i) {
-        const bool is_hit = run_request(harness, Outcome::completed, kQuickResponse) == server;
+        const bool is_hit = run_request(harness, Outcome::completed, kFastLatency) == server;
         if (is_hit) ++hits;
     }
     return hits;
 }
 
-int drive_traffic(PolicyHarness& harness, int requests, ServerId faulty, Outcome outcome, int most) {
+int drive_traffic(PolicyHarness& harness, int requests, ServerId faulty, Outcome outcome, int max_ended) {
     const bool is_first_traffic = harness.requests.empty() && faulty != 0;
     if (is_first_traffic) drive_traffic(harness, kRequestsToFillWindows, 0, Outcome::completed);
     int ended = 0;
     for (int i = 0; i < requests; i += kRequestsAtOnce)
         for (const RequestId id : harness.start_requests(kRequestsAtOnce))
             while (harness.is_in_flight(id)) {
-                const bool is_hit = harness.server_of(id) == faulty && ended < most;
+                const bool is_hit = harness.server_of(id) == faulty && ended < max_ended;
                 if (is_hit) ++ended;
-                harness.end_attempt(id, is_hit ? outcome : Outcome::completed, kQuickResponse);
+                harness.end_attempt(id, is_hit ? outcome : Outcome::completed, kFastLatency);
             }
     return ended;
 }
@@ -84,12 +84,12 @@
 }
 
 void use_many_servers(PolicyHarness& harness, int requests) {
-    harness.complete_in_flight(harness.start_requests(requests), kVeryQuickResponse);
+    harness.complete_in_flight(harness.start_requests(requests), kVeryFastLatency);
 }
 
 void overload(PolicyHarness& harness, int count) {
     for (int round = 0; round < kOverloadRounds; ++round) {
-        harness.complete_in_flight(harness.start_requests(count, kOverloadTimeLeft), kOverloadedResponse);
+        harness.complete_in_flight(harness.start_requests(count, kOverloadTimeLeft), kOverloadedLatency);
         harness.advance(0);
     }
 }
@@ -105,8 +105,8 @@
         const RequestId id = harness.start_request(0, kVariedTimeLeft, false, tenant);
         if (i >= kVariedRequests / 2) counted.push_back(id);
         if (harness.is_in_flight(id)) {
-            const bool is_slow = random() % kOneSlowOf == 0;
-            due.emplace(harness.now + (is_slow ? slow : kVariedUsualResponse), id);
+            const bool is_slow = random() % kResponsesPerSlowOne == 0;
+            due.emplace(harness.now + (is_slow ? slow : kVariedUsualLatency), id);
         }
         harness.advance(interval);
         while (!due.empty() && due.begin()->first <= harness.now) {
--- a/tests/support/policy_traffic.hpp
+++ b/tests/support/policy_traffic.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Patterns of traffic that many tests of the policy send.
+/// Traffic patterns that several tests of the policy share.
 #pragma once
 
 #include <cstddef>
@@ -9,57 +9,58 @@
 
 namespace mothring::test {
 
-/// A response that is quicker than the latency objective.
+/// A latency well below the latency objective.
 constexpr Millis kShortLatency = 20;
-/// More than any test has attempts fail.
-constexpr int kAnyNumber = 1000;
-/// Requests at once that overload a small fleet.
+/// More failures than any test causes.
+constexpr int kUnlimited = 1000;
+/// The number of concurrent requests that overloads a small fleet.
 constexpr int kOverloadRequests = 100;
-/// Between requests of traffic without a crowd.
+/// The time between requests of traffic that overloads no server.
 constexpr Millis kRequestInterval = 4;
 
-/// Settings with one class, whose requests may run once at most.
+/// Returns settings with one class, whose requests may run at most once.
 Settings non_idempotent_settings();
 
-/// Settings of a sidecar that has to subscribe to discovery's list.
+/// Returns settings of a sidecar that has to subscribe to the endpoint list.
 Settings subscribing_settings(Millis resubscribe_within);
 
-/// One of so many sidecars, which knows servers 1 to `servers`.
+/// Returns the harness of one balancer in a fleet of `sidecars`, with the servers from 1 to `servers`.
 PolicyHarness harness_in_fleet(std::uint32_t sidecars, ServerId servers);
 
-/// Sends one request and ends its attempt like that, `after` later. Fails the test if it was not sent.
-/// @return the server that got it.
+/// Starts one request and ends its attempt with `outcome` after `after`. Fails the test if no attempt was
+/// sent.
+/// @return the server of the attempt.
 ServerId run_request(PolicyHarness& harness, Outcome outcome, Millis after = kShortLatency,
                      std::uint32_t class_index = 0);
 
-/// Sends requests one by one, each completed.
-/// @return how many of them a server got.
+/// Runs requests one after another. Every attempt completes.
+/// @return the number of attempts that were sent to `server`.
 int count_sent_to(PolicyHarness& harness, int requests, ServerId server);
 
-/// Sends requests, three at a time. Attempts at `faulty` end with `outcome`, as long as fewer than `most`
-/// have; all others complete. Where it is the harness's first traffic, completed requests come before it
-/// until the servers' windows are full.
-/// @return how many attempts at `faulty` ended with `outcome`.
+/// Runs requests, three at a time. Up to `max_ended` attempts at the server `faulty` end with `outcome`; all
+/// others complete. If the harness had no traffic before, enough requests are completed first to fill the
+/// servers' success windows.
+/// @return the number of attempts at `faulty` that ended with `outcome`.
 int drive_traffic(PolicyHarness& harness, int requests, ServerId faulty, Outcome outcome,
-                  int most = kAnyNumber);
+                  int max_ended = kUnlimited);
 
-/// Sends requests, three at a time, each completed.
-/// @return how many attempts reached a server.
+/// Runs requests, three at a time. Every attempt completes.
+/// @return the number of attempts that were sent to `server`.
 int count_sent_concurrently_to(PolicyHarness& harness, int requests, ServerId server);
 
-/// Sends so many requests at once, completed quickly, so that the sidecar uses many servers.
+/// Runs `requests` concurrent requests with short latencies, so that the balancer's subset grows.
 void use_many_servers(PolicyHarness& harness, int requests);
 
-/// Sends requests whose responses take nearly twice the latency objective, `count` at a time.
+/// Runs several rounds of `count` concurrent requests with latencies of nearly twice the latency objective.
 void overload(PolicyHarness& harness, int count = kOverloadRequests);
 
-/// Sends 2,000 requests, one each `interval`, to twelve servers. A quarter of the responses takes `slow`, the
-/// rest 90 ms: their mean shows no crowd.
-/// @return how many of the second thousand were never sent.
+/// Runs 2,000 requests against twelve servers, one in each `interval`. A quarter of the responses takes
+/// `slow` and the rest 90 ms, so that latencies vary although no server is overloaded.
+/// @return the number of the last 1,000 requests for which no attempt was sent.
 std::ptrdiff_t count_rejected_without_overload(const Settings& settings, std::uint32_t tenant, Millis slow,
                                                Millis interval = kRequestInterval);
 
-/// Lists servers 1 to `count`, of which the first has just started.
+/// Delivers a list of the servers from 1 to `count`, the first of which has just started.
 void restart_first_server(PolicyHarness& harness, ServerId count);
 
 }  // namespace mothring::test
