--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// Rule 4 over a whole fleet: what all balancers together send to each server that is warming up, in every
-/// window of the time in which it would be overloaded, against what it may be sent and what is put down to
-/// chance.
+/// The platform requires that a server that is warming up is not overloaded. These tests simulate whole
+/// fleets and compare, for every window of Settings::overload_window, the number of requests that all
+/// balancers together send to such a server with the number it can take plus an allowance for chance.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,12 +19,12 @@
 
 constexpr std::size_t kUsualSizes[] = {20, 30, 350};
 constexpr std::uint64_t kUsualSeeds = 2;
-/// From a sidecar that has all traffic to itself to many with little of it each.
+/// Fleets from one sidecar with all the traffic to many sidecars with little traffic each.
 constexpr std::size_t kFewOrMany[] = {1, 2, 3, 8, 900};
-/// Fleets of more sidecars than this are simulated for less time.
+/// Fleets of more sidecars than this are simulated for a shorter time, to limit the time that the tests take.
 constexpr std::size_t kLargeFleet = 100;
 constexpr Millis kTimeAfterRestartOfLargeFleet = 14000;
-/// More is sent to servers that are warming up, or the run shows nothing.
+/// A run must send more requests than this to servers that are warming up; with fewer it proves nothing.
 constexpr std::size_t kLeastSent = 20;
 
 void expect_no_overload_at(FleetScenario scenario, std::size_t balancers, std::uint64_t seed,
@@ -38,9 +38,9 @@
     testing::Test::RecordProperty("sent_to_warming_up_" + run, std::to_string(fleet.sent_to_warming_up()));
     testing::Test::RecordProperty("completed_" + run, std::to_string(fleet.completed_share()));
     EXPECT_LE(worst.ratio, 1) << what << ", " << balancers << " balancers, seed " << seed << ": "
-                              << worst.sent << " sent where " << worst.allowed << " may be, from "
-                              << worst.from;
-    EXPECT_GT(fleet.sent_to_warming_up(), kLeastSent) << "they are to be warmed too";
+                              << worst.sent << " requests sent, " << worst.allowed
+                              << " allowed, in the window from " << worst.from << " ms";
+    EXPECT_GT(fleet.sent_to_warming_up(), kLeastSent) << "servers that are warming up need requests too";
 }
 
 void expect_no_overload(FleetScenario scenario, const char* what) {
@@ -53,9 +53,10 @@
         }
 }
 
-// The traffic of the fleet is what its servers can do, so a sidecar of a large fleet sees little of it.
+// The fleet's traffic follows from the capacity of the servers, so each sidecar of a large fleet has little
+// of it.
 void expect_no_overload_of_few_or_many(FleetScenario scenario, const char* what) {
-    scenario.allowance_by_terms = true;
+    scenario.wider_allowance_below_30 = true;
     for (const std::size_t balancers : kFewOrMany) {
         if (balancers > kLargeFleet)
             scenario.length = std::min(scenario.length, scenario.restarts_at + kTimeAfterRestartOfLargeFleet);
@@ -63,7 +64,7 @@
     }
 }
 
-void expect_no_overload_of_any_kind(const FleetScenario& scenario, const char* what) {
+void expect_no_overload_at_any_size(const FleetScenario& scenario, const char* what) {
     for (const std::size_t balancers : {1, 3, 60, 175, 900})
         for (std::uint64_t seed = 1; seed <= 3; ++seed)
             expect_no_overload_at(scenario, balancers, seed, what);
@@ -73,20 +74,21 @@
 bool is_every_second(std::size_t server) { return server % 2 == 0; }
 bool is_of_first_three(std::size_t server) { return server < 3; }
 
-FleetScenario half_of_the_servers_start() {
+FleetScenario half_of_the_servers_restart() {
     FleetScenario scenario;
     scenario.restarts = is_every_second;
     return scenario;
 }
 
-FleetScenario all_servers_start() {
+FleetScenario all_servers_restart() {
     FleetScenario scenario;
     scenario.restarts = is_any;
     return scenario;
 }
 
-// The slow ones start among fast ones that stay warm: their part is that of their kind.
-FleetScenario slow_servers_start_among_fast_ones() {
+// Half of the servers are slow, and only slow ones restart. They may be sent as much as their own kind of
+// machine can take, which is less than the fast servers take.
+FleetScenario slow_servers_restart_among_fast_ones() {
     FleetScenario scenario;
     scenario.slow_share = 0.5;
     scenario.load = 0.8;
@@ -94,25 +96,26 @@
     return scenario;
 }
 
-// No more may be sent than a server can do.
-void allow_just_the_capacity(Settings& settings) {
+// Sets limits at which a server is overloaded by any request beyond its capacity.
+void allow_no_more_than_capacity(Settings& settings) {
     settings.overload_multiple = 1;
     settings.overload_window = 1000;
     settings.slow_start_min_capacity = 0.1;
 }
 
-TEST(SlowStartFleet, OneServerStartsUnderSteadyTraffic) { expect_no_overload({}, "steady"); }
+TEST(SlowStartFleet, OneServerRestartsUnderSteadyTraffic) { expect_no_overload({}, "steady"); }
 
-TEST(SlowStartFleet, HalfOfTheServersStart) { expect_no_overload(half_of_the_servers_start(), "half"); }
+TEST(SlowStartFleet, HalfOfTheServersRestart) { expect_no_overload(half_of_the_servers_restart(), "half"); }
 
-TEST(SlowStartFleet, AllServersStartAtOnce) { expect_no_overload(all_servers_start(), "all"); }
+TEST(SlowStartFleet, AllServersRestartAtOnce) { expect_no_overload(all_servers_restart(), "all"); }
 
-TEST(SlowStartFleet, SlowServersStartAmongFastOnes) {
-    expect_no_overload(slow_servers_start_among_fast_ones(), "slow");
+TEST(SlowStartFleet, SlowServersRestartAmongFastOnes) {
+    expect_no_overload(slow_servers_restart_among_fast_ones(), "slow");
 }
 
-// What idle balancers have saved up must not all be spent as the traffic comes back.
-TEST(SlowStartFleet, TrafficComesBackInABurst) {
+// The token buckets of all balancers fill while there is little traffic. If all of them were spent when the
+// traffic returns, the server would be overloaded.
+TEST(SlowStartFleet, TrafficReturnsInABurst) {
     FleetScenario scenario;
     scenario.load = 0.35;
     scenario.demand = [](Millis now) {
@@ -131,7 +134,8 @@
     expect_no_overload(scenario, "bursts");
 }
 
-// Limits that leave less: a smaller multiple, over a shorter time, from colder on.
+// The limits leave less room for error: a smaller overload multiple, a shorter window and a lower capacity
+// right after the start.
 TEST(SlowStartFleet, StricterLimits) {
     FleetScenario scenario;
     scenario.slow_share = 0.5;
@@ -153,31 +157,32 @@
     expect_no_overload(scenario, "burst");
 }
 
-// The measure is what a warm server of the same kind does, not the mean of all.
-TEST(SlowStartFleet, SlowServersAreOverloadedAtJustTheirCapacity) {
-    FleetScenario scenario = slow_servers_start_among_fast_ones();
-    scenario.adjust_settings = allow_just_the_capacity;
+// The capacity of a slow server must be estimated from warm servers of the same kind. The mean of all servers
+// is higher and would overload it.
+TEST(SlowStartFleet, SlowServersWithoutSpareCapacity) {
+    FleetScenario scenario = slow_servers_restart_among_fast_ones();
+    scenario.adjust_settings = allow_no_more_than_capacity;
     expect_no_overload(scenario, "slow");
 }
 
-// New processes know nothing of what the old ones sent.
+// Restarted balancers don't know how many requests their earlier processes have sent to the server.
 TEST(SlowStartFleet, AllBalancersRestartDuringAWarmUp) {
     FleetScenario scenario;
     scenario.balancers_restart_at = 22500;
     expect_no_overload(scenario, "restart");
 }
 
-TEST(SlowStartFleetOfAnySize, OneServerStarts) { expect_no_overload_of_few_or_many({}, "steady"); }
+TEST(SlowStartFleetOfAnySize, OneServerRestarts) { expect_no_overload_of_few_or_many({}, "steady"); }
 
-TEST(SlowStartFleetOfAnySize, HalfOfTheServersStart) {
-    expect_no_overload_of_few_or_many(half_of_the_servers_start(), "half");
+TEST(SlowStartFleetOfAnySize, HalfOfTheServersRestart) {
+    expect_no_overload_of_few_or_many(half_of_the_servers_restart(), "half");
 }
 
-TEST(SlowStartFleetOfAnySize, AllServersStart) {
-    expect_no_overload_of_few_or_many(all_servers_start(), "all");
+TEST(SlowStartFleetOfAnySize, AllServersRestart) {
+    expect_no_overload_of_few_or_many(all_servers_restart(), "all");
 }
 
-TEST(SlowStartFleetOfAnySize, TrafficStopsDuringAWarmUpAndComesBackInABurst) {
+TEST(SlowStartFleetOfAnySize, TrafficStopsDuringAWarmUpAndReturnsInABurst) {
     FleetScenario scenario;
     scenario.load = 0.9;
     scenario.demand = [](Millis now) {
@@ -189,8 +194,9 @@
     expect_no_overload_of_few_or_many(scenario, "burst");
 }
 
-// A long quiet time first: what little each may always send has added up when all ask at once.
-TEST(SlowStartFleetOfAnySize, QuietFromBeforeTheStartThenABurst) {
+// Each balancer may always send a small share of attempts. During a long time without traffic these add up in
+// all balancers, and the burst lets all of them send at once.
+TEST(SlowStartFleetOfAnySize, TrafficStopsBeforeTheRestartAndReturnsInABurst) {
     FleetScenario scenario;
     scenario.load = 0.9;
     scenario.restarts = is_every_second;
@@ -208,12 +214,12 @@
     scenario.load = 0.8;
     scenario.restarts = is_of_first_three;
     scenario.largest_share = 0.8;
-    scenario.allowance_by_terms = true;
+    scenario.wider_allowance_below_30 = true;
     for (const std::size_t balancers : {2, 3, 8, 350})
         expect_no_overload_at(scenario, balancers, 1, "uneven");
 }
 
-// Small servers, held to little over a short time.
+// Servers with one core, a low overload multiple and a short window: each window allows only a few requests.
 TEST(SlowStartFleetOfAnySize, LimitsOfAFewRequests) {
     FleetScenario scenario;
     scenario.cores = 1;
@@ -234,26 +240,25 @@
     expect_no_overload_of_few_or_many(scenario, "burst");
 }
 
-// Nothing to spare: a server is overloaded at just what it can do.
-TEST(SlowStartFleetOfAnySize, ServersAreOverloadedAtJustTheirCapacity) {
+TEST(SlowStartFleetOfAnySize, ServersWithoutSpareCapacity) {
     FleetScenario scenario;
     scenario.load = 0.9;
-    scenario.adjust_settings = allow_just_the_capacity;
+    scenario.adjust_settings = allow_no_more_than_capacity;
     scenario.restarts = is_of_first_three;
     expect_no_overload_of_few_or_many(scenario, "at capacity");
 }
 
-// The only slow machine starts: no warm one of its kind shows what they do, and the warm rest does several
-// times as much. Then a burst.
-FleetScenario the_only_slow_server_starts() {
+// The only slow server restarts, followed by a burst of traffic. No warm server of its kind is left to
+// estimate its capacity from, and the warm fast servers complete several times as many requests as it can.
+FleetScenario the_only_slow_server_restarts() {
     FleetScenario scenario;
-    scenario.allowance_by_terms = true;
+    scenario.wider_allowance_below_30 = true;
     scenario.servers = 4;
     scenario.cores = 4;
     scenario.load = 0.96;
     scenario.skew = 0.1;
     scenario.slow_share = 0.25;
-    scenario.slow_pace = 0.4;
+    scenario.slow_speed = 0.4;
     scenario.adjust_settings = [](Settings& settings) {
         settings.slow_start_min_capacity = 0.25;
         settings.slow_start_window = 18500;
@@ -269,19 +274,19 @@
     return scenario;
 }
 
-TEST(SlowStartFleetOfAnySize, TheOnlySlowServerStarts) {
-    expect_no_overload_of_any_kind(the_only_slow_server_starts(), "slow");
+TEST(SlowStartFleetOfAnySize, TheOnlySlowServerRestarts) {
+    expect_no_overload_at_any_size(the_only_slow_server_restarts(), "slow");
 }
 
-// To new processes that kind has never been warm.
-TEST(SlowStartFleetOfAnySize, TheOnlySlowServerStartsAndAllBalancersToo) {
-    FleetScenario scenario = the_only_slow_server_starts();
+// The restarted balancers have never seen a warm server of the slow kind.
+TEST(SlowStartFleetOfAnySize, TheOnlySlowServerAndAllBalancersRestart) {
+    FleetScenario scenario = the_only_slow_server_restarts();
     scenario.balancers_restart_at = 12500;
-    expect_no_overload_of_any_kind(scenario, "slow, new balancers");
+    expect_no_overload_at_any_size(scenario, "slow, new balancers");
 }
 
-// New processes every few seconds, each with buckets at a random depth.
-TEST(SlowStartFleetOfAnySize, AllBalancersRestartAgainAndAgain) {
+// All balancers restart every few seconds, and each new process starts with token buckets at a random level.
+TEST(SlowStartFleetOfAnySize, AllBalancersRestartRepeatedly) {
     FleetScenario scenario;
     scenario.restarts = is_every_second;
     scenario.balancers_restart_at = 21500;
@@ -289,10 +294,10 @@
     expect_no_overload_of_few_or_many(scenario, "restarts");
 }
 
-// Many small servers for each sidecar, each of which sees little traffic.
-TEST(SlowStartFleetOfAnySize, ThinTrafficOfManySidecars) {
+// Many small servers and many sidecars: each sidecar sends little traffic to each server.
+TEST(SlowStartFleetOfAnySize, LittleTrafficFromManySidecars) {
     FleetScenario scenario;
-    scenario.allowance_by_terms = true;
+    scenario.wider_allowance_below_30 = true;
     scenario.cores = 1;
     scenario.load = 0.3;
     scenario.restarts_at = 6000;
@@ -300,7 +305,7 @@
     scenario.restarts = [](std::size_t server) { return server % 4 == 0; };
     scenario.servers = 200;
     expect_no_overload_at(scenario, 900, 1, "200 servers");
-    scenario.servers = 640;  // 3,200 for 900 sidecars
+    scenario.servers = 640;  // the ratio of 3,200 servers to 900 sidecars
     expect_no_overload_at(scenario, 180, 1, "640 servers");
 }
 
--- a/tests/support/simulated_fleet.cpp
+++ b/tests/support/simulated_fleet.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-/// The balancers' time when the simulation starts.
+/// The balancers' clock at the start of the simulation.
 constexpr Millis kEpoch = 1e6;
-/// How long one core of a warm, fast server works on a request in the mean.
+/// The mean time for which one core of a warm, fast server works on a request.
 constexpr Millis kServiceTime = 61;
-/// The part of a response's latency that is not the server's work.
+/// The part of a response's latency that is spent outside the server.
 constexpr Millis kNetworkTime = 145;
 constexpr Millis kDeadline = 2500;
 constexpr Millis kLatencyObjective = 750;
-/// The highest demand of any scenario.
+/// An upper bound of the demand in any scenario, as a multiple of the load.
 constexpr double kPeakDemand = 4;
-/// The logarithm of service times is normally distributed; their mean is about 1.
+/// Service times vary by a log-normally distributed factor with a mean of about 1.
 constexpr double kServiceTimeLogMean = -0.08;
 constexpr double kServiceTimeLogDeviation = 0.4;
 
@@ -29,7 +29,8 @@
 constexpr double kOverloadMultiple = 4;
 constexpr Millis kOverloadWindow = 3000;
 
-/// Below this many requests the terms allow more deviations.
+/// The allowance of a server that is expected to be sent fewer requests than this in a window may include
+/// more standard deviations.
 constexpr double kFewRequests = 30;
 
 Settings settings_of(const FleetScenario& scenario) {
@@ -124,7 +125,8 @@
 }
 
 void SimulatedFleet::schedule_arrival(std::size_t index, Millis after) {
-    // Arrivals at the highest demand, thinned to that of the time, as it may change at any time.
+    // The demand may change at any time. Arrivals are therefore drawn for the highest demand, and each is
+    // dropped with a probability that leaves the current demand.
     const double rate = scenario_.load * capacity_ * shares_[index] / sum_of_shares_;
     const Millis at = after + std::exponential_distribution<double>(rate * kPeakDemand)(random_);
     schedule(at, [this, index] {
@@ -139,10 +141,10 @@
 void SimulatedFleet::deliver(std::size_t index, const Event& event) {
     std::vector<Action> actions;
     sidecars_[index].balancer->handle(kEpoch + now_, event, actions);
-    for (const Action& action : actions) carry_out(index, action);
+    for (const Action& action : actions) execute(index, action);
 }
 
-void SimulatedFleet::carry_out(std::size_t index, const Action& action) {
+void SimulatedFleet::execute(std::size_t index, const Action& action) {
     Sidecar& sidecar = sidecars_[index];
     const std::uint64_t incarnation = sidecar.incarnation;
     if (const auto* send = std::get_if<SendAttempt>(&action)) {
@@ -205,13 +207,13 @@
 }
 
 Millis SimulatedFleet::service_time(const Server& server, double capacity) const {
-    return kServiceTime / (server.is_slow ? scenario_.slow_pace : 1) / capacity;
+    return kServiceTime / (server.is_slow ? scenario_.slow_speed : 1) / capacity;
 }
 
 double SimulatedFleet::allowance(const Server& server, Millis from) const {
     const double expected = settings_.overload_multiple * capacity_share(server, from) * scenario_.cores /
                             service_time(server, 1) * settings_.overload_window;
-    const double deviations = scenario_.allowance_by_terms && expected < kFewRequests ? 3 : 2;
+    const double deviations = scenario_.wider_allowance_below_30 && expected < kFewRequests ? 3 : 2;
     return expected + deviations * std::sqrt(expected) + deviations;
 }
 
--- a/tests/support/simulated_fleet.hpp
+++ b/tests/support/simulated_fleet.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A fleet of balancers, its servers and its clients, in simulated time.
+/// A simulation of a fleet of balancers with their servers and clients, in simulated time.
 #pragma once
 
 #include <cstddef>
@@ -19,70 +19,75 @@
 constexpr std::size_t kDefaultBalancers = 20;
 constexpr std::size_t kDefaultServers = 24;
 constexpr double kDefaultLoad = 0.55;
-constexpr double kDefaultSlowPace = 0.45;
+constexpr double kDefaultSlowSpeed = 0.45;
 constexpr Millis kDefaultRestart = 20000;
 constexpr Millis kDefaultLength = 50000;
 
-/// What happens in a simulated fleet.
+/// The size of a simulated fleet, its traffic, and its restarts.
 struct FleetScenario {
     std::size_t balancers = kDefaultBalancers;
     std::size_t servers = kDefaultServers;
-    /// The traffic, as a share of what all servers can do when warm.
+    /// The mean traffic, as a share of the capacity of all servers when warm.
     double load = kDefaultLoad;
-    /// The share of the servers that are of the slow kind, and their pace as a share of a fast one's.
+    /// The share of the servers that are of the slow kind.
     double slow_share = 0;
-    double slow_pace = kDefaultSlowPace;
-    /// The spread of the balancers' shares of the traffic; 0: all alike.
+    /// The speed of a slow server, as a share of the speed of a fast one.
+    double slow_speed = kDefaultSlowSpeed;
+    /// The standard deviation of the logarithm of the balancers' shares of the traffic; 0 gives equal shares.
     double skew = 1;
-    /// The first balancer's share of all traffic; 0: as drawn.
+    /// The first balancer's share of all traffic; 0 leaves it as drawn.
     double largest_share = 0;
-    /// Of each server.
+    /// The number of cores of each server.
     int cores = 2;
-    /// Allows what the platform's terms word, which is wider where a server may be sent fewer than 30.
-    bool allowance_by_terms = false;
+    /// Whether the allowance of a server that is expected to be sent fewer than 30 requests in a window
+    /// includes three standard deviations instead of two, as the platform's limit on overload permits.
+    bool wider_allowance_below_30 = false;
     /// The traffic at a time, as a multiple of `load`.
     std::function<double(Millis now)> demand = [](Millis) { return 1.0; };
-    /// Which servers restart at `restarts_at`.
+    /// Selects the servers that restart at `restarts_at`.
     std::function<bool(std::size_t server)> restarts = [](std::size_t server) { return server == 0; };
     Millis restarts_at = kDefaultRestart;
     Millis length = kDefaultLength;
-    /// When all balancers restart; 0: never.
+    /// The time at which all balancers restart; 0 if they never do.
     Millis balancers_restart_at = 0;
-    /// How often they do, one Settings::overload_window apart.
+    /// The number of restarts of all balancers, each one Settings::overload_window after the last.
     int balancer_restarts = 1;
     /// Changes the settings of all balancers.
     std::function<void(Settings&)> adjust_settings = [](Settings&) {};
     std::uint64_t seed = 1;
 };
 
-/// Runs a scenario and records what all balancers together send to each server that is warming up.
+/// Runs a scenario and records all requests that the balancers send to each server that is warming up.
 class SimulatedFleet {
 public:
-    /// Runs the whole scenario. Equal scenarios give equal runs.
+    /// Runs the complete scenario. Equal scenarios give equal runs.
     explicit SimulatedFleet(FleetScenario scenario);
 
-    /// What a server that was warming up was sent in a window, against what it may be sent.
+    /// The number of requests that a server was sent in one window during its warm-up, and the number
+    /// allowed.
     struct Window {
-        /// Sent over allowed: above 1 the server was overloaded (rule 4).
+        /// Sent divided by allowed. The platform requires that a server that is warming up is not overloaded,
+        /// so a value above 1 is a failure.
         double ratio = 0;
         double sent = 0;
         double allowed = 0;
         Millis from = 0;
     };
-    /// The window of the highest ratio, of all servers.
+    /// Returns the window with the highest ratio of all servers.
     Window worst_window() const;
 
-    /// How many requests all servers were sent while they were warming up.
+    /// Returns the number of requests that all servers together were sent while they were warming up.
     std::size_t sent_to_warming_up() const;
 
-    /// Of the requests that arrived after the restart, the share that was completed in time.
+    /// Returns the share of the requests arrived after the servers' restart that completed before their
+    /// deadlines.
     double completed_share() const { return static_cast<double>(completed_) / static_cast<double>(arrived_); }
 
 private:
-    /// An attempt at a server.
+    /// An attempt, queued or in service at a server.
     struct Job {
         std::size_t balancer;
-        /// The balancer's when it sent the job.
+        /// The incarnation of the balancer when it sent the attempt.
         std::uint64_t incarnation;
         RequestId id;
         std::uint32_t attempt;
@@ -90,20 +95,22 @@
     };
     struct Server {
         bool is_slow = false;
-        /// 0: long ago.
+        /// The time of its restart; 0 if it has been running since before the simulation.
         Millis started_at = 0;
         int busy_cores = 0;
         std::deque<Job> queue;
-        /// When it was sent something while it was warming up.
+        /// The times at which attempts were sent to it while it was warming up.
         std::vector<Millis> sent_at;
     };
     struct Sidecar {
         std::unique_ptr<Balancer> balancer;
+        /// The number of times that the balancer has been started.
         std::uint64_t incarnation = 0;
+        /// The number of attempts by request.
         std::map<RequestId, std::uint32_t> attempts;
     };
-    /// Something to do at a time; what is due at the same time is done in the order in which it was
-    /// scheduled.
+    /// A function that runs at a simulated time. Functions of the same time run in the order in which they
+    /// were scheduled.
     struct Task {
         Millis at;
         std::uint64_t order;
@@ -123,17 +130,17 @@
     void start_balancer(std::size_t index);
     void schedule_arrival(std::size_t index, Millis after);
     void deliver(std::size_t index, const Event& event);
-    void carry_out(std::size_t index, const Action& action);
+    void execute(std::size_t index, const Action& action);
     void enqueue(std::size_t server, const Job& job);
     void serve_queue(std::size_t server);
     void complete(const Job& job);
 
     EndpointList list() const;
-    /// The share of its capacity that a server has at a time.
+    /// Returns the share of its full capacity that a server has at a time.
     double capacity_share(const Server& server, Millis now) const;
-    /// How long one core works on a request.
+    /// Returns the mean time for which one core works on a request at a share of the full capacity.
     Millis service_time(const Server& server, double capacity) const;
-    /// What a server may be sent in the window from a time on.
+    /// Returns the number of requests that a server may be sent in the window that begins at `from`.
     double allowance(const Server& server, Millis from) const;
 
     const FleetScenario scenario_;
@@ -141,10 +148,10 @@
     std::mt19937_64 random_;
     std::vector<Server> servers_;
     std::vector<Sidecar> sidecars_;
-    /// The sidecars' shares of the traffic, and their sum.
+    /// The sidecars' shares of the traffic, as weights that add up to sum_of_shares_.
     std::vector<double> shares_;
     double sum_of_shares_ = 0;
-    /// Requests in a millisecond that all servers can do when warm.
+    /// The number of requests in a millisecond that all servers together can serve when warm.
     double capacity_ = 0;
     std::priority_queue<Task> tasks_;
     std::uint64_t next_order_ = 0;
