--- a/tests/policy/capacity_survey_test.cpp
+++ b/tests/policy/capacity_survey_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many warm servers the pool has, and what they carry.
+/// The count of warm servers and the rates at which they complete attempts.
 #include "capacity_survey.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,8 @@
 
 constexpr Millis kNow = 100000;
 
-/// Servers 1 to 4: zones 1, 2, 0 and 1; those with odd identifiers are of kind 1, the others of kind 0.
+/// A survey of servers 1 to 4, which are in zones 1, 2, 0 and 1. Those with odd identifiers are of kind 1,
+/// the others of kind 0.
 class CapacitySurveyOfFour : public testing::Test {
 protected:
     CapacitySurveyOfFour() { list(make_servers(4)); }
@@ -33,7 +34,7 @@
     CapacitySurvey survey{endpoints, outliers, zones};
 };
 
-TEST_F(CapacitySurveyOfFour, MeasuresWhatWarmServersComplete) {
+TEST_F(CapacitySurveyOfFour, MeasuresCompletionRateOfWarmServersByKind) {
     complete(1, 10);
     complete(2, 30);
     EXPECT_TRUE(survey.refresh(kNow));
@@ -41,10 +42,10 @@
     EXPECT_DOUBLE_EQ(survey.rate(), 40.0 / 4 / kRateWindow);
     EXPECT_DOUBLE_EQ(survey.rate_of(1).value_or(0), 10.0 / 2 / kRateWindow);
     EXPECT_DOUBLE_EQ(survey.rate_of(0).value_or(0), 30.0 / 2 / kRateWindow);
-    EXPECT_FALSE(survey.rate_of(9)) << "no such servers";
+    EXPECT_FALSE(survey.rate_of(9)) << "no server of this kind";
 }
 
-TEST_F(CapacitySurveyOfFour, IsRenewedAfterAWhileOrWhenInvalidated) {
+TEST_F(CapacitySurveyOfFour, IsRefreshedAfterItsIntervalOrWhenInvalidated) {
     EXPECT_TRUE(survey.refresh(kNow));
     complete(1, 10);
     EXPECT_FALSE(survey.refresh(kNow + 99));
@@ -56,7 +57,7 @@
     EXPECT_TRUE(survey.refresh(kNow + 100));
 }
 
-TEST_F(CapacitySurveyOfFour, LeavesOutServersThatAreWarmingUp) {
+TEST_F(CapacitySurveyOfFour, ExcludesServersThatAreWarmingUp) {
     std::vector<EndpointInfo> infos = make_servers(4);
     infos[0].started_at = kNow;
     infos[2].started_at = kNow;
@@ -66,7 +67,7 @@
     survey.refresh(kNow);
     EXPECT_EQ(survey.warm_in_pool(), 2);
     EXPECT_DOUBLE_EQ(survey.rate(), 30.0 / 2 / kRateWindow);
-    EXPECT_FALSE(survey.rate_of(1)) << "no server of the kind is warm";
+    EXPECT_FALSE(survey.rate_of(1)) << "no server of this kind is warm";
 }
 
 }  // namespace
--- a/tests/policy/endpoint_set_test.cpp
+++ b/tests/policy/endpoint_set_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What lists of servers change.
+/// The effects of endpoint lists on the known servers and their indexes.
 #include "endpoint_set.hpp"
 
 #include <set>
@@ -27,7 +27,7 @@
     return ids;
 }
 
-TEST(EndpointSet, DropsWhatAFullListLacksAndKeepsWhatAnIncrementLacks) {
+TEST(EndpointSet, RemovesServersMissingFromAFullListButNotFromAnIncrementalOne) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::cached, make_servers(4));
     harness.deliver_list(ListKind::full, make_servers(2));
@@ -50,7 +50,7 @@
     EXPECT_GT(count_sent_concurrently_to(harness, 60, 2), 0);
 }
 
-TEST(EndpointSet, HoldsRequestsWhileTheListIsEmpty) {
+TEST(EndpointSet, QueuesRequestsWhileTheListIsEmpty) {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(2));
     harness.deliver_list(ListKind::full, {});
@@ -58,22 +58,22 @@
     EXPECT_FALSE(harness.is_in_flight(waiting));
     harness.now += 20;
     harness.deliver_list(ListKind::full, make_servers(2));
-    EXPECT_TRUE(harness.is_in_flight(waiting)) << "served as soon as somebody may have it";
+    EXPECT_TRUE(harness.is_in_flight(waiting)) << "sent as soon as a server is listed";
     harness.deliver_list(ListKind::full, {});
     harness.start_request();
     harness.expect_all_answered();
 }
 
-TEST(EndpointSet, TellsANewProcessFromAKnownOne) {
+TEST(EndpointSet, DistinguishesANewProcessFromAKnownOne) {
     const Settings settings = make_settings();
     EndpointSet endpoints(settings);
     EXPECT_TRUE(endpoints.update({1, 0, 0, EndpointState::active, 500}).is_new_process) << "a new server";
     EXPECT_FALSE(endpoints.update({1, 0, 0, EndpointState::draining, 500}).is_new_process);
-    EXPECT_FALSE(endpoints.update({1, 0, 0, EndpointState::active, 400}).is_new_process) << "older news";
+    EXPECT_FALSE(endpoints.update({1, 0, 0, EndpointState::active, 400}).is_new_process) << "an older entry";
     EXPECT_TRUE(endpoints.update({1, 0, 0, EndpointState::active, 501}).is_new_process);
 }
 
-TEST(EndpointSet, KeepsItsIndexesInTheOrderOfIdentifiers) {
+TEST(EndpointSet, KeepsItsIndexesSortedByIdentifier) {
     const Settings settings = make_settings();
     EndpointSet endpoints(settings);
     std::vector<EndpointInfo> infos = make_servers(5);
@@ -90,7 +90,7 @@
     EXPECT_EQ(endpoints.active_by_kind().at(0), 2);
 }
 
-TEST(EndpointSet, KeepsAServerThatIsGoneWhileItHasAttemptsInFlight) {
+TEST(EndpointSet, KeepsARemovedServerWhileItHasAttemptsInFlight) {
     const Settings settings = make_settings();
     EndpointSet endpoints(settings);
     update(endpoints, ListKind::full, make_servers(3));
@@ -102,7 +102,7 @@
     endpoints.at(2).in_flight = 0;
     EXPECT_TRUE(endpoints.forget_if_gone(2));
     EXPECT_EQ(endpoints.find(2), nullptr);
-    EXPECT_FALSE(endpoints.forget_if_gone(2)) << "not known any more";
+    EXPECT_FALSE(endpoints.forget_if_gone(2)) << "no longer known";
 }
 
 }  // namespace
--- a/tests/policy/fleet_share_test.cpp
+++ b/tests/policy/fleet_share_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// This process's part of what the whole fleet of sidecars may do.
+/// This process's share of a limit that applies to the whole fleet of sidecars.
 #include "fleet_share.hpp"
 
 #include <gtest/gtest.h>
@@ -7,14 +7,14 @@
 namespace mothring::test {
 namespace {
 
-TEST(FleetShare, DividesTheLeastAttemptsByTheFleetsSize) {
+TEST(FleetShare, DividesTheMinimumInFlightByTheFleetSize) {
     Settings settings;
     settings.fleet_size = 100;
     const FleetShare share(settings);
     EXPECT_DOUBLE_EQ(share.in_flight_per_server(), kMinInFlightPerServer / 100);
 }
 
-TEST(FleetShare, IsOneAttemptAtMost) {
+TEST(FleetShare, IsAtMostOneAttempt) {
     Settings settings;
     for (const std::uint32_t sidecars : {0U, 1U, 4U}) {
         settings.fleet_size = sidecars;
@@ -22,7 +22,7 @@
     }
 }
 
-TEST(FleetShare, CountsPresentMembersOnlyWithAQuorum) {
+TEST(FleetShare, UsesTheNumberOfMembersOnlyWithAQuorum) {
     Settings settings;
     settings.fleet_size = 100;
     FleetShare share(settings);
--- a/tests/policy/latency_model_test.cpp
+++ b/tests/policy/latency_model_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// How long responses take, as shares of their latency objectives.
+/// Expected relative latencies of servers, from their own responses and from those of comparable servers.
 #include "latency_model.hpp"
 
 #include <gtest/gtest.h>
@@ -16,18 +16,18 @@
     return endpoint;
 }
 
-TEST(LatencyModel, ExpectsAQuickResponseOfAnUnknownKind) {
+TEST(LatencyModel, ExpectsZeroLatencyOfAnUnknownKind) {
     LatencyModel model;
     EXPECT_EQ(model.expected(make_endpoint(0, 0), kNow), 0);
     EXPECT_EQ(model.lowest_kind_mean(), LatencyModel::kMinRelativeLatency);
 }
 
-TEST(LatencyModel, ExpectsOfAnUnknownServerWhatItsKindInItsZoneTakesElseItsKind) {
+TEST(LatencyModel, UsesTheMeanOfTheKindInTheZoneThenOfTheKindForAnUnknownServer) {
     LatencyModel model;
     Endpoint slow_zone = make_endpoint(0, 0);
-    Endpoint quick_zone = make_endpoint(1, 0);
+    Endpoint fast_zone = make_endpoint(1, 0);
     model.record(slow_zone, 0.8, kNow);
-    model.record(quick_zone, 0.2, kNow);
+    model.record(fast_zone, 0.2, kNow);
     EXPECT_DOUBLE_EQ(model.expected(make_endpoint(0, 0), kNow), 0.8);
     EXPECT_DOUBLE_EQ(model.expected(make_endpoint(1, 0), kNow), 0.2);
     const double of_kind = model.expected(make_endpoint(2, 0), kNow);
@@ -35,15 +35,15 @@
     EXPECT_LT(of_kind, 0.8);
 }
 
-TEST(LatencyModel, ExpectsOfAServerItsOwnMeanAsFarAsItHasResponses) {
+TEST(LatencyModel, WeighsTheServersOwnMeanByItsNumberOfResponses) {
     LatencyModel model;
     Endpoint known = make_endpoint(0, 0);
     Endpoint other = make_endpoint(0, 0);
     model.record(known, 0.2, kNow);
     for (int i = 0; i < 100; ++i) model.record(other, 0.8, kNow);
-    const double of_place = model.expected(make_endpoint(0, 0), kNow);
+    const double in_zone = model.expected(make_endpoint(0, 0), kNow);
     known.completed.add(kPriorResponses, kNow);
-    EXPECT_DOUBLE_EQ(model.expected(known, kNow), (of_place + 0.2) / 2) << "both weigh alike";
+    EXPECT_DOUBLE_EQ(model.expected(known, kNow), (in_zone + 0.2) / 2) << "equal weights";
 }
 
 }  // namespace
--- a/tests/policy/request_table_test.cpp
+++ b/tests/policy/request_table_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The requests without a final answer, their queue and their timers.
+/// The table of requests, the queue of those that wait for capacity, and the timers.
 #include "request_table.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace mothring::test {
 namespace {
 
-TEST(RequestTable, ForgetsAFinishedRequestOnceNothingIsInFlight) {
+TEST(RequestTable, ErasesAFinishedRequestOnceNoAttemptIsInFlight) {
     RequestTable table;
     Request* const request = table.add(1);
     request->has_final_answer = true;
@@ -20,13 +20,13 @@
     EXPECT_EQ(table.size(), 1U) << "an attempt is in flight";
     request->attempts.front().in_flight = false;
     table.forget_finished();
-    EXPECT_EQ(table.size(), 1U) << "it has to be marked again";
+    EXPECT_EQ(table.size(), 1U) << "erased only after it is marked again";
     table.mark_finished(1);
     table.forget_finished();
     EXPECT_EQ(table.size(), 0U);
 }
 
-TEST(RequestTable, TakesThoseThatWaitByWeightThenNewestFirst) {
+TEST(RequestTable, ReturnsWaitingRequestsByWeightThenNewestFirst) {
     RequestTable table;
     for (const RequestId id : {1, 2, 3, 4, 5}) {
         table.add(id);
@@ -41,7 +41,7 @@
     EXPECT_FALSE(table.has_waiting());
 }
 
-TEST(RequestTable, TakesATimerOnce) {
+TEST(RequestTable, ReturnsATimerOnce) {
     RequestTable table;
     const TimerToken of_request = table.add_timer(5);
     const TimerToken of_discovery = table.add_timer(std::nullopt);
@@ -53,7 +53,7 @@
     const std::optional<RequestTable::Timer> discovery_timer = table.take_timer(of_discovery);
     ASSERT_TRUE(discovery_timer);
     EXPECT_FALSE(discovery_timer->request);
-    EXPECT_FALSE(table.take_timer(of_request)) << "a spent timer";
+    EXPECT_FALSE(table.take_timer(of_request)) << "the timer has fired already";
     EXPECT_EQ(table.timers(), 0U);
 }
 
--- a/tests/policy/settings_validation_test.cpp
+++ b/tests/policy/settings_validation_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Settings that are rejected.
+/// Errors for invalid settings.
 #include <cmath>
 #include <stdexcept>
 #include <string>
@@ -9,7 +9,7 @@
 namespace mothring::test {
 namespace {
 
-TEST(SettingsValidation, NamesTheSettingThatIsWrong) {
+TEST(SettingsValidation, NamesTheInvalidSetting) {
     const auto message_for = [](auto change) -> std::string {
         Settings settings = make_settings();
         change(settings);
--- a/tests/policy/success_window_test.cpp
+++ b/tests/policy/success_window_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The outcomes of a server's last attempts.
+/// The sliding window of the outcomes of a server's last attempts.
 #include "success_window.hpp"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace mothring::test {
 namespace {
 
-TEST(SuccessWindow, IsFullWithItsSizeAndDropsTheOldest) {
+TEST(SuccessWindow, IsFullAtItsSizeAndThenDropsTheOldestOutcome) {
     SuccessWindow window;
     window.add(0, false);
     for (std::size_t i = 1; i < kWindowSize; ++i) {
@@ -18,10 +18,10 @@
     EXPECT_EQ(window.successes(), kWindowSize - 1);
     window.add(0, true);
     EXPECT_EQ(window.size(), kWindowSize);
-    EXPECT_EQ(window.successes(), kWindowSize) << "the failure has left it";
+    EXPECT_EQ(window.successes(), kWindowSize) << "the failure has been dropped";
 }
 
-TEST(SuccessWindow, TellsTheRateOfAClassAndOfTheOthers) {
+TEST(SuccessWindow, ReportsTheRateOfAClassAndOfTheOthers) {
     SuccessWindow window;
     window.add(0, true);
     window.add(0, false);
