--- a/tests/policy/digest.hpp
+++ b/tests/policy/digest.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A digest of words and times.
+/// A digest of integers and times.
 #pragma once
 
 #include <bit>
@@ -9,7 +9,7 @@
 
 namespace mothring::test {
 
-/// The hash function FNV-1a with 64 bits.
+/// Computes the 64-bit FNV-1a hash of the values that are added.
 class Digest {
 public:
     void add(std::uint64_t word) {
--- a/tests/policy/generator.hpp
+++ b/tests/policy/generator.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Random numbers of the tests.
+/// The random number generator of the tests.
 #pragma once
 
 #include <cstdint>
@@ -8,29 +8,31 @@
 
 namespace mothring::test {
 
-/// The SplitMix64 generator (Steele, Lea and Flood, 2014). It is not the policy's own, so that a change there
-/// leaves the tests' draws as they are.
+/// The SplitMix64 generator (Steele, Lea and Flood, 2014). It is separate from the policy's generator, so
+/// that a change of that one leaves the random numbers of the tests as they are.
 class Generator {
 public:
     explicit Generator(std::uint64_t seed) : state_(seed) {}
 
-    /// Evenly distributed from 0 to 1, 1 not included.
+    /// Returns a number that is uniformly distributed in [0, 1).
     double unit() {
         constexpr int kUnusedBits = 11;
         constexpr double kUnit = 0x1.0p-53;
         return static_cast<double>(next() >> kUnusedBits) * kUnit;
     }
 
+    /// Returns true with the given probability.
     bool chance(double probability) { return unit() < probability; }
 
-    /// Evenly distributed from 0 to `count`, `count` not included.
+    /// Returns an integer that is uniformly distributed in [0, count).
     std::uint32_t below(std::uint32_t count) { return static_cast<std::uint32_t>(unit() * count); }
 
-    /// About exponentially distributed, in steps that don't depend on the mathematics library.
+    /// Returns a time that is roughly exponentially distributed. The computation does not use the mathematics
+    /// library, whose results may differ between platforms.
     Millis gap(Millis mean) {
-        constexpr int kMostHalvings = 10;
+        constexpr int kMaxHalvings = 10;
         int halvings = 0;
-        while (halvings < kMostHalvings && chance(0.5)) ++halvings;
+        while (halvings < kMaxHalvings && chance(0.5)) ++halvings;
         return mean * (halvings + unit());
     }
 
--- a/tests/policy/random_fleet.cpp
+++ b/tests/policy/random_fleet.cpp
@@ -12,18 +12,18 @@
 
 constexpr std::uint64_t kNameHashFactor = 0x9e3779b97f4a7c15;
 
-// Of each so many requests the last ones come in a crowd.
-constexpr int kCrowdInterval = 400;
-constexpr int kRequestsInCrowd = 100;
+// The last kRequestsInBurst of every kBurstInterval requests arrive in a burst.
+constexpr int kBurstInterval = 400;
+constexpr int kRequestsInBurst = 100;
 
 /// The mean time between disturbances.
 constexpr Millis kDisturbanceGap = 400;
 constexpr Millis kZoneOutage = 2000;
 constexpr Millis kFirstListDelay = 200;
-/// Timers beyond this fire after the sequence.
+/// Timers from this time on are not simulated, as every sequence ends earlier.
 constexpr Millis kAfterAnySequence = 1e9;
 
-/// What happens to the fleet and to discovery; each is as likely as the others.
+/// The changes of the fleet and of discovery. All have the same probability.
 enum class Disturbance : std::uint32_t {
     server_becomes_faulty,
     server_recovers,
@@ -101,8 +101,8 @@
 
 void RandomFleet::schedule_next_request() {
     if (requests_left_ == 0) return;
-    const bool is_crowd = requests_left_ % kCrowdInterval < kRequestsInCrowd;
-    schedule_in(draw_.gap(is_crowd ? request_gap_ / 10 : request_gap_), [this] {
+    const bool is_burst = requests_left_ % kBurstInterval < kRequestsInBurst;
+    schedule_in(draw_.gap(is_burst ? request_gap_ / 10 : request_gap_), [this] {
         --requests_left_;
         start_request();
         schedule_next_request();
@@ -113,7 +113,7 @@
     const RequestId id = next_request_++;
     RequestArrived arrival;
     arrival.id = id;
-    // One class and one tenant are unknown.
+    // The highest class index and the highest tenant index do not exist in the settings.
     arrival.class_index = draw_.below(static_cast<std::uint32_t>(settings_.classes.size()) + 1);
     arrival.time_left = 50 + 1500 * draw_.unit();
     arrival.effort = draw_.chance(0.5) ? 100 * draw_.unit() : 0;
@@ -277,7 +277,8 @@
     const Server& server = servers_[send.server];
     const bool fails = draw_.chance(server.failure_rate);
     const Outcome outcome = fails ? server.failure : Outcome::completed;
-    // A server is slower the more it has at a time; one that rejects says so at once.
+    // A server gets slower with its number of attempts in flight. Rejections and failed connections take
+    // little time at any load.
     const double slowdown = 1 + 0.3 * static_cast<double>(count_in_flight_at(send.server));
     Millis duration = draw_.gap(server.service_time) * slowdown;
     if (outcome == Outcome::connect_failed || outcome == Outcome::overloaded) duration = 1 + draw_.unit();
--- a/tests/policy/random_fleet.hpp
+++ b/tests/policy/random_fleet.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A random fleet around one balancer, which records what the balancer does.
+/// A random fleet around one balancer, which records the balancer's actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,31 +16,32 @@
 
 namespace mothring::test {
 
-/// A fleet of servers with faults, its discovery and its clients, as far as one balancer sees them. Settings,
-/// servers and events are drawn from the seed.
+/// Simulates servers with faults, discovery and clients as one balancer sees them. The settings, the servers
+/// and the events are derived from the seed.
 class RandomFleet {
 public:
     explicit RandomFleet(std::uint64_t seed);
 
-    /// Plays a sequence of events with so many requests, until nothing is due any more.
+    /// Plays a sequence of events with this number of requests until no event is scheduled any more.
     /// @return a digest of all actions.
     std::uint64_t play(int requests);
 
-    /// How often each kind of action was taken, by its tag.
+    /// Returns the number of actions of each kind, by the tag of the kind.
     const std::map<char, int>& action_counts() const { return action_counts_; }
 
 private:
     struct Server {
         EndpointInfo info;
         Millis service_time = 0;
-        /// The share of its attempts that fail, and how.
+        /// The share of its attempts that fail.
         double failure_rate = 0;
+        /// The outcome of the attempts that fail.
         Outcome failure = Outcome::failed;
     };
     struct Request {
         std::uint32_t attempts = 0;
         bool has_ended = false;
-        /// The attempts that have not ended, and their servers.
+        /// The servers of the attempts in flight, by the number of the attempt.
         std::map<std::uint32_t, ServerId> in_flight;
     };
     using Task = std::function<void()>;
@@ -58,9 +59,9 @@
     void disturb();
 
     Server& draw_known_server() { return servers_[1 + draw_.below(server_count_)]; }
-    /// Changes a server without telling anyone.
+    /// Changes a server without a new entry in the endpoint list.
     void change_server(const ServerChange& change) { change(draw_known_server()); }
-    /// Changes a server, and discovery says so.
+    /// Changes a server and delivers its new entry in an incremental list.
     void change_listed_server(const ServerChange& change);
     void add_server();
     void replace_server();
@@ -81,8 +82,8 @@
     void take(const Subscribe& subscription);
     void take(const EndpointEjected& ejection);
     void take(const EndpointRestored& restoration);
-    static void take(const auto&) { ADD_FAILURE() << "an action that no decision takes"; }
-    /// Schedules how an attempt ends that was sent to a server.
+    static void take(const auto&) { ADD_FAILURE() << "the balancer never takes an action of this kind"; }
+    /// Schedules the end of an attempt that has been sent to a server.
     void schedule_end(const SendAttempt& send, std::uint32_t attempt);
 
     Generator draw_;
@@ -96,7 +97,7 @@
     int requests_left_ = 0;
     RequestId next_request_ = 1;
     std::uint64_t next_order_ = 0;
-    /// In order of time, then of scheduling.
+    /// The scheduled functions, by their time and then by the order in which they were scheduled.
     std::map<std::pair<Millis, std::uint64_t>, Task> tasks_;
     std::map<ServerId, Server> servers_;
     std::map<RequestId, Request> requests_;
--- a/tests/policy/random_settings.hpp
+++ b/tests/policy/random_settings.hpp
@@ -9,13 +9,13 @@
 
 namespace mothring::test {
 
-// Zones, kinds, cells and tenants have the identifiers from 0 on.
+// Identifiers of zones, kinds, cells and tenants start at 0.
 constexpr std::uint32_t kZones = 3;
 constexpr std::uint32_t kKinds = 3;
 constexpr std::uint32_t kCells = 2;
 constexpr std::uint32_t kTenants = 3;
 
-/// Draws settings of all kinds, with two to five classes.
+/// Returns random settings with two to five classes.
 Settings draw_settings(Generator& draw);
 
 }  // namespace mothring::test
--- a/tests/policy/recorded_sequence_test.cpp
+++ b/tests/policy/recorded_sequence_test.cpp
@@ -1,7 +1,8 @@
 /// @file
-/// Plays long seeded sequences of events, of all kinds and under settings of all kinds, and compares a digest
-/// of every action with the one recorded. A change that is meant to keep behaviour must keep the digests. One
-/// that is meant to change it prints the new ones, and its commit says why they change.
+/// Plays long random sequences of events, which cover all kinds of events and settings, and compares a digest
+/// of the balancer's actions with the recorded digest. A change that is not meant to change behaviour must
+/// keep the digests. For a change that is, the failures print the new digests, and its commit says why they
+/// change.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -13,9 +14,9 @@
 namespace mothring::test {
 namespace {
 
-/// Of each sequence.
+/// The number of requests in each sequence.
 constexpr int kRequests = 2000;
-/// Of the sequences with the seeds 1, 2, 3 and so on.
+/// The digests of the sequences with the seeds 1, 2, 3 and so on.
 constexpr std::uint64_t kDigests[] = {
     0xf760315f4bfe18a7, 0x4c370b8e7b645124, 0xdc78fee4476a2d61, 0xd4de5f26ce353b3c,
     0xcefd9535374e8a4b, 0xbba2a1c779b42ac7, 0xba666aeafc1cd4d1, 0xee2482682f6bb58f,
@@ -32,7 +33,7 @@
         for (const auto& [tag, count] : fleet.action_counts()) actions[tag] += count;
     }
     for (const char tag : std::string("SCRGTUEH"))
-        EXPECT_GT(actions[tag], 20) << "the sequences hardly take the action " << tag;
+        EXPECT_GT(actions[tag], 20) << "the sequences contain too few actions with the tag " << tag;
 }
 
 }  // namespace
