--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,5 +1,7 @@
-// How a sidecar uses mothring: feed events with their time, carry out the actions. Here one request is
-// taken, sent, fails before it ran, is sent elsewhere and served.
+/// @file
+/// An example of how a sidecar uses mothring: it delivers events with their times and executes the actions.
+/// In this example the first attempt of a request fails without having run, and the second one is completed
+/// by another server.
 #include <iostream>
 
 #include "mothring/balancer.hpp"
@@ -21,7 +23,7 @@
 
     std::uint32_t attempt = 0;
     for (std::size_t i = 0; i < actions.size(); ++i) {
-        const Action action = actions[i];  // handle() may move the vector's storage
+        const Action action = actions[i];  // a copy, as handle() may reallocate the vector
         if (const auto* send = std::get_if<SendAttempt>(&action)) {
             std::cout << "send request " << send->id << " to server " << send->server << '\n';
             AttemptEnded ended{send->id, attempt++};
@@ -29,7 +31,7 @@
             ended.request_ended = ended.outcome == Outcome::completed;
             balancer.handle(1010 + 20 * attempt, ended, actions);
         } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-            std::cout << "timer at " << timer->at << '\n';  // hand TimerFired{timer->token} back then
+            std::cout << "timer at " << timer->at << '\n';  // deliver TimerFired{timer->token} then
         }
     }
     return attempt == 2 && balancer.gauges().requests == 0 ? 0 : 1;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,7 @@
-// What a fleet of sixteen times the usual scan servers costs a sidecar: bytes for each listed server, and
-// work for each change of the list, as slopes and ratios. Every allocation of this program is counted.
+/// @file
+/// The cost of a large fleet to a sidecar: its memory for each listed server, and the processor time of
+/// requests and of changes of the endpoint list. Each is compared between a usual fleet and one with sixteen
+/// times as many scan servers. This program counts all of its allocations.
 #include <gtest/gtest.h>
 #include <malloc.h>
 
@@ -18,70 +20,77 @@
 
 namespace {
 
-// Of the heap, through operator new: what is held now, the most that was, and how often it was asked.
+// The use of the heap through operator new: the bytes allocated now, the highest value so far, and the number
+// of allocations.
 struct Heap {
-    std::atomic<std::size_t> held{0}, most{0}, asked{0};
+    std::atomic<std::size_t> bytes{0}, peak_bytes{0}, allocations{0};
 };
 Heap heap;
 
-void* counted(std::size_t size) {
+void* allocate_counted(std::size_t size) {
     void* const memory = std::malloc(std::max<std::size_t>(1, size));
     if (!memory) throw std::bad_alloc();
-    const std::size_t now = heap.held += malloc_usable_size(memory);
-    heap.most = std::max<std::size_t>(heap.most, now);
-    ++heap.asked;
+    const std::size_t bytes = heap.bytes += malloc_usable_size(memory);
+    heap.peak_bytes = std::max<std::size_t>(heap.peak_bytes, bytes);
+    ++heap.allocations;
     return memory;
 }
 
-void give_back(void* memory) {
+void free_counted(void* memory) {
     if (!memory) return;
-    heap.held -= malloc_usable_size(memory);
+    heap.bytes -= malloc_usable_size(memory);
     std::free(memory);
 }
 
 }  // namespace
 
-void* operator new(std::size_t size) { return counted(size); }
-void* operator new[](std::size_t size) { return counted(size); }
-void operator delete(void* memory) noexcept { give_back(memory); }
-void operator delete[](void* memory) noexcept { give_back(memory); }
-void operator delete(void* memory, std::size_t) noexcept { give_back(memory); }
-void operator delete[](void* memory, std::size_t) noexcept { give_back(memory); }
+void* operator new(std::size_t size) { return allocate_counted(size); }
+void* operator new[](std::size_t size) { return allocate_counted(size); }
+void operator delete(void* memory) noexcept { free_counted(memory); }
+void operator delete[](void* memory) noexcept { free_counted(memory); }
+void operator delete(void* memory, std::size_t) noexcept { free_counted(memory); }
+void operator delete[](void* memory, std::size_t) noexcept { free_counted(memory); }
 
 namespace mothring::test {
 namespace {
 
-constexpr ServerId kUsual = 200, kMost = 3200;
-// The terms: peak memory may grow by 4 MB for each thousand scan servers, in all.
-constexpr double kBytesPerServer = 4000;
-// The policy keeps a third of that; the rest is for names, addresses, connections and lists in passing.
-constexpr double kPolicyBytesPerServer = kBytesPerServer / 3;
+// The numbers of servers in the two fleets.
+constexpr ServerId kUsualSize = 200, kLargeSize = 3200;
+// The platform requires that a sidecar's peak memory grows by at most 4 MB for each thousand scan servers.
+constexpr double kMaxBytesPerServer = 4000;
+// The policy may use a third of that. The rest is for names, addresses, connections and received lists.
+constexpr double kMaxPolicyBytesPerServer = kMaxBytesPerServer / 3;
 constexpr int kChanges = 100, kRequests = 100;
-constexpr double kSameWork = 4;  // times as much, with what the machine does besides
+// Equal work may take this many times as long in the large fleet, as other processes use the machine too.
+constexpr double kMaxTimeRatio = 4;
 
-double slope(std::size_t at_usual, std::size_t at_most) {
-    return (static_cast<double>(at_most) - static_cast<double>(at_usual)) / (kMost - kUsual);
+// Returns the growth of a figure for each additional server.
+double slope(std::size_t at_usual_size, std::size_t at_large_size) {
+    return (static_cast<double>(at_large_size) - static_cast<double>(at_usual_size)) /
+           (kLargeSize - kUsualSize);
 }
 
-// A policy among 900 sidecars that has sent requests at large in a fleet of so many servers.
-class LargeFleet {
+// The balancer of one of 900 sidecars, which has sent 2,000 requests to a fleet of `count` servers.
+class BalancerInFleet {
 public:
-    explicit LargeFleet(ServerId count) : servers_(make_servers(count)), balancer_(settings(), 1) {
-        give(Started{});
-        give(EndpointList{ListKind::full, servers_});
+    explicit BalancerInFleet(ServerId count) : servers_(make_servers(count)), balancer_(settings(), 1) {
+        deliver(Started{});
+        deliver(EndpointList{ListKind::full, servers_});
         for (int i = 0; i < 2000; ++i) serve_one();
     }
-    // Servers in turn begin to leave and come back, one at a time.
+    // Delivers `count` changes of one server each. The first change of a server makes it drain, the second
+    // makes it active again.
     void change(int count) {
         for (int i = 0; i < count; ++i) {
             EndpointInfo& server = servers_[changes_++ / 2 * kStride % servers_.size()];
             server.state =
                 server.state == EndpointState::active ? EndpointState::draining : EndpointState::active;
             change_.servers.assign(1, server);
-            give(change_);
+            deliver(change_);
         }
     }
-    // One request after another, each so long after the last that what is known of the fleet is renewed.
+    // Serves one request after another. The gap between requests is longer than the interval of the capacity
+    // survey, so that each request refreshes the survey.
     void serve(int count) {
         constexpr Millis kGap = 150;
         for (int i = 0; i < count; ++i) {
@@ -89,7 +98,7 @@
             serve_one();
         }
     }
-    // The first `share` of the servers start anew, cold, all at once.
+    // Restarts the first `share` of the servers at the same time.
     void restart(double share) {
         EndpointList restarted{ListKind::incremental, {}};
         for (std::size_t i = 0; i < static_cast<std::size_t>(share * static_cast<double>(servers_.size()));
@@ -97,11 +106,11 @@
             servers_[i].started_at = now_;
             restarted.servers.push_back(servers_[i]);
         }
-        give(restarted);
+        deliver(restarted);
     }
-    // How many servers have had requests: as many connections.
-    std::size_t asked_servers() const { return asked_.size(); }
-    void forget_asked_servers() { asked_.clear(); }
+    // Returns the number of servers that have been sent requests, which is the number of connections needed.
+    std::size_t used_servers() const { return used_.size(); }
+    void clear_used_servers() { used_.clear(); }
 
 private:
     static constexpr std::size_t kStride = 7;
@@ -110,17 +119,17 @@
         settings.fleet_size = 900;
         return settings;
     }
-    void give(const Event& event) {
+    void deliver(const Event& event) {
         actions_.clear();
         balancer_.handle(now_, event, actions_);
         for (const Action& action : actions_)
-            if (const SendAttempt* send = std::get_if<SendAttempt>(&action)) asked_.insert(send->server);
+            if (const SendAttempt* send = std::get_if<SendAttempt>(&action)) used_.insert(send->server);
     }
     void serve_one() {
-        constexpr Millis kAnswer = 20;
-        give(RequestArrived{++request_, 0, 1000});
-        now_ += kAnswer;
-        give(AttemptEnded{request_, 0, Outcome::completed, kAnswer, true});
+        constexpr Millis kLatency = 20;
+        deliver(RequestArrived{++request_, 0, 1000});
+        now_ += kLatency;
+        deliver(AttemptEnded{request_, 0, Outcome::completed, kLatency, true});
     }
 
     std::vector<EndpointInfo> servers_;
@@ -130,19 +139,19 @@
     std::size_t changes_ = 0;
     Millis now_ = 1e6;
     RequestId request_ = 0;
-    std::set<ServerId> asked_;
+    std::set<ServerId> used_;
 };
 
-std::size_t held_by_policy(ServerId count) {
-    const std::size_t before = heap.held;
-    const LargeFleet fleet(count);
-    return heap.held - before;
+std::size_t memory_of_policy(ServerId count) {
+    const std::size_t before = heap.bytes;
+    const BalancerInFleet fleet(count);
+    return heap.bytes - before;
 }
 
-TEST(Scale, PolicyHoldsLittleForEachListedServer) {
-    const double bytes = slope(held_by_policy(kUsual), held_by_policy(kMost));
+TEST(Scale, PolicyUsesLittleMemoryPerListedServer) {
+    const double bytes = slope(memory_of_policy(kUsualSize), memory_of_policy(kLargeSize));
     RecordProperty("bytes_per_server", std::to_string(bytes));
-    EXPECT_LT(bytes, kPolicyBytesPerServer);
+    EXPECT_LT(bytes, kMaxPolicyBytesPerServer);
 }
 
 double processor_time() {
@@ -151,12 +160,13 @@
     return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * 1e-9;
 }
 
-// How many times as long the work takes the thread with the most servers as with the usual number.
+// Returns the processor time of this thread for `work` in the large fleet, divided by that in the usual
+// fleet.
 template <class Work>
-double times_as_long(Work work) {
-    constexpr int kRounds = 20;  // the least of them: others use the machine too
-    LargeFleet usual(kUsual), large(kMost);
-    const auto time_of = [&](LargeFleet& fleet) {
+double time_ratio(Work work) {
+    constexpr int kRounds = 20;  // the fastest round counts, as other processes use the machine too
+    BalancerInFleet usual(kUsualSize), large(kLargeSize);
+    const auto time_of = [&](BalancerInFleet& fleet) {
         const double before = processor_time();
         work(fleet);
         return processor_time() - before;
@@ -169,72 +179,75 @@
     return least_large / least_usual;
 }
 
-// Changes come by the hundred in a large fleet: each may cost what it changes, not what is listed.
+// A large fleet has hundreds of changes. The cost of each must depend on the servers that change and not on
+// the number of listed servers.
 TEST(Scale, AChangeOfOneServerCostsTheSameInALargeFleet) {
-    const double ratio = times_as_long([](LargeFleet& fleet) { fleet.change(kChanges); });
+    const double ratio = time_ratio([](BalancerInFleet& fleet) { fleet.change(kChanges); });
     RecordProperty("ratio", std::to_string(ratio));
-    EXPECT_LT(ratio, kSameWork);
+    EXPECT_LT(ratio, kMaxTimeRatio);
 }
 
-// Passes over all that are listed, many times a second, would cost more than the requests themselves.
+// Passes over all listed servers many times a second would cost more than the requests themselves.
 TEST(Scale, ARequestCostsTheSameInALargeFleet) {
-    const double ratio = times_as_long([](LargeFleet& fleet) { fleet.serve(kRequests); });
+    const double ratio = time_ratio([](BalancerInFleet& fleet) { fleet.serve(kRequests); });
     RecordProperty("ratio", std::to_string(ratio));
-    EXPECT_LT(ratio, kSameWork);
+    EXPECT_LT(ratio, kMaxTimeRatio);
 }
 
-// The terms: connections made to scan servers may grow to 2.5 times as many and 40, on the same day.
+// The platform requires that, with the same traffic, a large fleet takes at most 2.5 times as many
+// connections to scan servers as the usual one, plus 40.
 TEST(Scale, ARestartOfHalfOfALargeFleetMakesFewConnections) {
-    constexpr double kTimes = 2.5, kMore = 40, kHalf = 0.5;
-    const auto asked_in = [](ServerId count) {
-        LargeFleet fleet(count);
-        fleet.forget_asked_servers();
+    constexpr double kMaxRatio = 2.5, kMaxExtra = 40, kHalf = 0.5;
+    const auto used_after_restart = [](ServerId count) {
+        BalancerInFleet fleet(count);
+        fleet.clear_used_servers();
         fleet.restart(kHalf);
         fleet.serve(4 * kRequests);
-        return static_cast<double>(fleet.asked_servers());
+        return static_cast<double>(fleet.used_servers());
     };
-    const double usual = asked_in(kUsual), large = asked_in(kMost);
+    const double usual = used_after_restart(kUsualSize), large = used_after_restart(kLargeSize);
     RecordProperty("usual", std::to_string(usual));
     RecordProperty("large", std::to_string(large));
-    EXPECT_LE(large, kTimes * usual + kMore);
+    EXPECT_LE(large, kMaxRatio * usual + kMaxExtra);
 }
 
 TEST(Scale, AChangeOfOneServerAllocatesNoMoreInALargeFleet) {
-    LargeFleet usual(kUsual), large(kMost);
-    const auto asked_by = [](LargeFleet& fleet) {
-        fleet.change(kChanges);  // what grows once has grown
-        const std::size_t before = heap.asked;
+    BalancerInFleet usual(kUsualSize), large(kLargeSize);
+    const auto allocations_by = [](BalancerInFleet& fleet) {
+        fleet.change(kChanges);  // lets buffers and indexes grow to their final sizes
+        const std::size_t before = heap.allocations;
         fleet.change(kChanges);
-        return heap.asked - before;
+        return heap.allocations - before;
     };
-    EXPECT_LE(asked_by(large), asked_by(usual));
+    EXPECT_LE(allocations_by(large), allocations_by(usual));
 }
 
-// A change names who has started anew: nothing of what was decided on its earlier life is left.
-TEST(Scale, AServerOutOfThePoolThatStartsAnewIsOneOfManyAgain) {
+// An incremental list reports that an ejected server has restarted. The ejection applied to the earlier
+// process, so the new one must not be limited to half-open trials.
+TEST(Scale, AnEjectedServerThatRestartsReceivesItsShareAgain) {
     Settings settings = make_settings();
     settings.slow_start_window = 0;
     PolicyHarness harness(settings);
     std::vector<EndpointInfo> servers = make_servers(6);
     harness.deliver_list(ListKind::full, servers);
-    for (int i = 0; i < 300 && harness.ejections == 0; ++i)  // the windows fill first
+    for (int i = 0; i < 300 && harness.ejections == 0; ++i)  // the first 100 rounds fill the success windows
         for (const RequestId id : harness.start_requests(3))
             while (harness.is_in_flight(id))
                 harness.end_attempt(
                     id, i > 100 && harness.server_of(id) == 1 ? Outcome::failed : Outcome::completed, 10);
     ASSERT_EQ(harness.ejections, 1);
-    harness.advance(20000);  // longer than it stays out for
+    harness.advance(20000);  // longer than its ejection time
     servers[0].started_at = harness.now;
     harness.deliver_list(ListKind::incremental, {servers[0]});
-    int there = 0;
+    int sent_to_restarted = 0;
     for (int i = 0; i < 10; ++i) {
         const std::vector<RequestId> ids =
-            harness.start_requests(6);  // so many at once that each server has its part
-        for (const RequestId id : ids) there += harness.server_of(id) == 1;
+            harness.start_requests(6);  // enough concurrent requests for every server to receive some
+        for (const RequestId id : ids) sent_to_restarted += harness.server_of(id) == 1;
         harness.complete_in_flight(ids, 10);
     }
-    EXPECT_GT(there, 0);
-    EXPECT_LT(there, 30) << "as if each were its trial";
+    EXPECT_GT(sent_to_restarted, 0);
+    EXPECT_LT(sent_to_restarted, 30) << "more than its share, as if each request were a trial";
 }
 
 }  // namespace
@@ -243,46 +256,50 @@
 namespace mothring::node::test {
 namespace {
 
-using mothring::test::kBytesPerServer, mothring::test::kChanges, mothring::test::kMost,
-    mothring::test::kSameWork, mothring::test::kUsual, mothring::test::slope;
+using mothring::test::kMaxBytesPerServer, mothring::test::kChanges, mothring::test::kLargeSize,
+    mothring::test::kMaxTimeRatio, mothring::test::kUsualSize, mothring::test::slope;
 
-std::size_t descriptors() {
+std::size_t count_descriptors() {
     const std::filesystem::directory_iterator open("/proc/self/fd");
     return static_cast<std::size_t>(std::distance(begin(open), end(open)));
 }
 
-// A sidecar between one agent and one server that is listed so many times.
+// A sidecar with a discovery service and one scripted server, whose address is listed under many names.
 struct ScaleOverSockets : NetRig {
+    // The additional heap bytes after the start, the highest number of additional bytes, the growth over all
+    // changes, and the additional descriptors.
     struct Cost {
-        std::size_t held = 0, most = 0, grown = 0, descriptors = 0;
+        std::size_t bytes = 0, peak_bytes = 0, growth = 0, descriptors = 0;
     };
-    // Starts it, tells it a hundred changes and then the whole list anew.
+    // Starts a sidecar with `count` listed servers, sends it kChanges changes and then a full list.
     Cost cost_of(std::size_t count) {
         std::vector<Listed> servers;
         for (std::size_t i = 0; i < count; ++i)
             servers.push_back({"scan-server-" + std::to_string(i), a.address()});
-        const std::string whole = list_json(kVersion + kChanges + 1, true, servers);
+        const std::string full_list = list_json(kVersion + kChanges + 1, true, servers);
         sidecar.reset();
         until([&] { return agent.ended() == agent.connections.size(); });
-        const std::size_t descriptors_before = descriptors(), before = heap.held;
-        heap.most = before;
+        const std::size_t descriptors_before = count_descriptors(), before = heap.bytes;
+        heap.peak_bytes = before;
         start(servers);
         until([&] { return watched_from(std::to_string(kVersion)); });
         Cost cost;
-        cost.held = heap.held - before;
+        cost.bytes = heap.bytes - before;
         for (int i = 1; i <= kChanges; ++i) {
-            const Listed& one = servers[static_cast<std::size_t>(i / 2)];
-            tell(list_json(kVersion + i, false, {{one.id, one.address, i % 2 ? "Draining" : "Ready"}}));
+            const Listed& changed = servers[static_cast<std::size_t>(i / 2)];
+            tell(list_json(kVersion + i, false,
+                           {{changed.id, changed.address, i % 2 ? "Draining" : "Ready"}}));
             until([&] { return watched_from(std::to_string(kVersion + i)); });
         }
-        cost.grown = std::max<std::size_t>(heap.held, before + cost.held) - before - cost.held;
-        tell(whole);
+        cost.growth = std::max<std::size_t>(heap.bytes, before + cost.bytes) - before - cost.bytes;
+        tell(full_list);
         until([&] { return watched_from(std::to_string(kVersion + kChanges + 1)); });
-        cost.most = heap.most - before;
-        cost.descriptors = descriptors() - descriptors_before;
+        cost.peak_bytes = heap.peak_bytes - before;
+        cost.descriptors = count_descriptors() - descriptors_before;
         return cost;
     }
-    // The processor time of a change over sockets, the least of a hundred, with so many listed.
+    // Returns the lowest processor time of kChanges changes that a sidecar with `count` listed servers
+    // receives.
     double time_of_change(std::size_t count) {
         std::vector<Listed> servers;
         for (std::size_t i = 0; i < count; ++i)
@@ -293,34 +310,35 @@
         until([&] { return watched_from(std::to_string(kVersion)); });
         double least = std::numeric_limits<double>::infinity();
         for (int i = 1; i <= kChanges; ++i) {
-            const Listed& one = servers[static_cast<std::size_t>(i / 2)];
+            const Listed& changed = servers[static_cast<std::size_t>(i / 2)];
             const double before = mothring::test::processor_time();
-            tell(list_json(kVersion + i, false, {{one.id, one.address, i % 2 ? "Draining" : "Ready"}}));
+            tell(list_json(kVersion + i, false,
+                           {{changed.id, changed.address, i % 2 ? "Draining" : "Ready"}}));
             until([&] { return watched_from(std::to_string(kVersion + i)); });
             least = std::min(least, mothring::test::processor_time() - before);
         }
         return least;
     }
-    static constexpr int kVersion = 41;  // of the list that NetRig starts with
+    static constexpr int kVersion = 41;  // the version of the list with which NetRig starts a sidecar
 };
 
 TEST_F(ScaleOverSockets, ALongListCostsLittleMemoryAndNoDescriptors) {
-    cost_of(kUsual);  // what a process opens once, as its log, is open by then
-    const Cost usual = cost_of(kUsual), large = cost_of(kMost);
-    RecordProperty("held_per_server", std::to_string(slope(usual.held, large.held)));
-    RecordProperty("most_per_server", std::to_string(slope(usual.most, large.most)));
-    RecordProperty("grown_usual", std::to_string(usual.grown));
-    RecordProperty("grown_large", std::to_string(large.grown));
+    cost_of(kUsualSize);  // opens what a process opens only once, such as its log
+    const Cost usual = cost_of(kUsualSize), large = cost_of(kLargeSize);
+    RecordProperty("held_per_server", std::to_string(slope(usual.bytes, large.bytes)));
+    RecordProperty("most_per_server", std::to_string(slope(usual.peak_bytes, large.peak_bytes)));
+    RecordProperty("grown_usual", std::to_string(usual.growth));
+    RecordProperty("grown_large", std::to_string(large.growth));
     RecordProperty("descriptors", std::to_string(large.descriptors));
-    EXPECT_LT(slope(usual.most, large.most), kBytesPerServer);
-    EXPECT_LT(slope(usual.grown, large.grown), kBytesPerServer / kChanges) << "changes hold nothing";
+    EXPECT_LT(slope(usual.peak_bytes, large.peak_bytes), kMaxBytesPerServer);
+    EXPECT_LT(slope(usual.growth, large.growth), kMaxBytesPerServer / kChanges) << "changes retain no memory";
     EXPECT_EQ(usual.descriptors, large.descriptors);
 }
 
 TEST_F(ScaleOverSockets, AChangeOfOneServerCostsTheSameInALargeFleet) {
-    const double usual = time_of_change(kUsual), large = time_of_change(kMost);
+    const double usual = time_of_change(kUsualSize), large = time_of_change(kLargeSize);
     RecordProperty("ratio", std::to_string(large / usual));
-    EXPECT_LT(large, kSameWork * usual);
+    EXPECT_LT(large, kMaxTimeRatio * usual);
 }
 
 }  // namespace
