--- a/include/mothring/actions.hpp
+++ b/include/mothring/actions.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What a Balancer wants done, in the order in which it is to be done.
+/// The actions that a Balancer requests. The caller must carry them out in the order in which they are
+/// appended.
 #pragma once
 
 #include <cstdint>
@@ -15,50 +16,54 @@
 struct SendAttempt {
     RequestId id = 0;
     ServerId server = 0;
-    /// The caller ends the attempt with Outcome::timed_out at this time.
+    /// The time at which the caller must end the attempt with Outcome::timed_out.
     Millis deadline = 0;
-    /// An attempt whose first byte can't be written before this time, as its connection comes up late, is not
-    /// sent (Outcome::not_sent).
+    /// The latest time for the first byte of the attempt. If the connection is established later, the caller
+    /// must not send the attempt and must report Outcome::not_sent.
     Millis send_by = 0;
 };
 
-/// Withdraws an attempt that is in flight.
+/// Cancels an attempt that is in flight.
 struct CancelAttempt {
     RequestId id = 0;
     std::uint32_t attempt = 0;
 };
 
-/// The final answer to a request that has had no effect: the client may safely retry.
+/// Gives the final answer to a request that has had no effect, or whose repeat is harmless. The client may
+/// safely retry.
 struct RejectRequest {
     RequestId id = 0;
-    /// The Retry-After; 0: none.
+    /// The value of Retry-After; 0 means that none is given.
     Millis retry_after = 0;
 };
 
-/// The final answer to a request that failed; it may have had an effect.
+/// Gives the final answer to a request that failed and may have had an effect.
 struct FailRequest {
     RequestId id = 0;
 };
 
-/// Asks for a TimerFired event.
+/// Requests a TimerFired event.
 struct SetTimer {
     Millis at = 0;
     TimerToken token = 0;
 };
 
-/// Asks a server whether it is healthy. The simulator's wire defines it; no decision takes it.
+/// Checks the health of a server. The simulator's protocol defines this action; the balancer never requests
+/// it.
 struct HealthCheck {
     ServerId server = 0;
 };
 
-/// Closes idle connections to a server. The simulator's wire defines it; no decision takes it.
+/// Closes idle connections to a server. The simulator's protocol defines this action; the balancer never
+/// requests it.
 struct CloseIdleConnections {
     ServerId server = 0;
 };
 
-/// Sends a message to another sidecar. The simulator's wire defines it; no decision takes it.
+/// Sends a message to another sidecar. The simulator's protocol defines this action; the balancer never
+/// requests it.
 struct SendToPeer {
-    /// Absent: to all of them.
+    /// The recipient; all sidecars if absent.
     std::optional<std::uint32_t> to{};
     std::vector<std::uint8_t> bytes{};
 };
@@ -68,14 +73,15 @@
     bool active = true;
 };
 
-/// Reports that a server was found to be an outlier and is sent nothing for a while. For the log only.
+/// Reports that a server was ejected as an outlier and is sent no requests for some time. Used only for the
+/// log.
 struct EndpointEjected {
     ServerId server = 0;
-    /// The earliest time of its half-open trial.
+    /// The earliest time of the server's half-open trial.
     Millis until = 0;
 };
 
-/// Reports that an ejected server passed its half-open trial. For the log only.
+/// Reports that an ejected server passed its half-open trial. Used only for the log.
 struct EndpointRestored {
     ServerId server = 0;
 };
--- a/include/mothring/balancer.hpp
+++ b/include/mothring/balancer.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// The decisions of a load-balancing sidecar, without I/O, clock or thread.
+/// The decisions of a load-balancing sidecar, without I/O, clocks or threads.
 ///
-/// One Balancer serves one sidecar. Give it every event in order, with the time at which it happened, and
-/// carry out the actions that it appends, in their order, at that same time. The same settings, seed and
-/// events give the same actions.
+/// One Balancer serves one sidecar. The caller passes every event in order, with the time at which it
+/// happened, and carries out the appended actions in their order, at that same time. The same settings, seed
+/// and events give the same actions.
 #pragma once
 
 #include <cstddef>
@@ -18,26 +18,27 @@
 
 namespace mothring {
 
+/// Decides which server each request is sent to, when it is retried, and when it is rejected.
 class Balancer {
 public:
-    /// @param seed  of the random choices.
-    /// @throws std::invalid_argument naming the setting that makes no sense.
+    /// @param seed  the seed of the random choices.
+    /// @throws std::invalid_argument if a setting is invalid; the message names the setting.
     Balancer(Settings settings, std::uint64_t seed);
     ~Balancer();
     Balancer(Balancer&&) noexcept;
     Balancer& operator=(Balancer&&) noexcept;
 
-    /// Handles an event and appends what is to be done. Events about unknown or finished requests, attempts,
-    /// servers and timers have no effect.
-    /// @param now  when it happened; an earlier time than that of the last event counts as that.
+    /// Handles an event and appends the resulting actions. Events about unknown or finished requests,
+    /// attempts, servers and timers have no effect.
+    /// @param now  the time of the event; a time before that of the previous event is replaced by the latter.
     void handle(Millis now, const Event& event, std::vector<Action>& actions);
 
-    /// How much the balancer holds at present.
+    /// The number of objects that the balancer currently holds.
     struct Gauges {
         std::size_t requests = 0;
         std::size_t servers = 0;
         std::size_t timers = 0;
-        /// Listed servers that are sent nothing: draining, ejected, or in a zone that is out of reach.
+        /// Listed servers that are sent no requests: draining, ejected, or in an unreachable zone.
         std::size_t unavailable = 0;
     };
     Gauges gauges() const;
--- a/include/mothring/events.hpp
+++ b/include/mothring/events.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a Balancer is told, in the order in which it happens.
+/// The events that a Balancer handles. The caller must pass them in the order in which they happen.
 #pragma once
 
 #include <cstdint>
@@ -13,103 +13,105 @@
 
 /// The state of a server in the endpoint list.
 enum class EndpointState {
-    active,    ///< Takes requests.
-    draining,  ///< Finishes what it has; is sent nothing new.
-    removed    ///< Gone.
+    active,    ///< Accepts requests.
+    draining,  ///< Finishes the requests it has; must get no new ones.
+    removed    ///< No longer exists.
 };
 
 /// An entry of the endpoint list.
 struct EndpointInfo {
     ServerId id = 0;
     ZoneId zone = 0;
-    /// The group of servers of DedupScope::cell.
+    /// The group of servers that DedupScope::cell refers to.
     std::uint32_t cell = 0;
     EndpointState state = EndpointState::active;
-    /// When the server last started; 0: long ago.
+    /// The time of the server's last start; 0 means long ago.
     Millis started_at = 0;
-    /// The kind of its machine.
+    /// The kind of the server's machine.
     KindId kind = 0;
-    /// A hash of its name, the same at every sidecar; ranks the servers of an affinity key.
+    /// A hash of the server's name, which is the same at every sidecar. It determines the rank of the server
+    /// for an affinity key.
     std::uint64_t name_hash = 0;
 };
 
-/// What an EndpointList holds.
+/// The contents of an EndpointList.
 enum class ListKind {
     incremental,  ///< The entries that changed.
-    full,         ///< All entries; a server without one has been removed.
-    cached,       ///< All entries as known before this start; may be out of date.
-    failed        ///< None: a call failed or the subscription broke, and the list known stays in force.
+    full,         ///< All entries; a server without an entry has been removed.
+    cached,       ///< All entries as known before this process started; may be out of date.
+    failed        ///< No entries: a call failed or the subscription broke, and the previous list stays valid.
 };
 
 /// How a call to discovery failed.
 enum class ListFailure {
     unreachable,  ///< No connection was accepted.
-    rejected,     ///< Discovery answered that it can't handle the call now.
-    broken,       ///< The connection ended without a response, or with one that can't be read; or the call
-                  ///< could not be made for want of a local resource.
+    rejected,     ///< Discovery responded that it cannot handle the call now.
+    broken,       ///< The connection ended without a response or with a malformed one, or the call could not
+                  ///< be made because a local resource was exhausted.
     timed_out     ///< No response in time.
 };
 
 /// How an attempt, or a health check, ended.
 enum class Outcome {
     completed,
-    failed,           ///< The server reported an error; it may have run.
-    invalid_request,  ///< The server rejects the request itself, as any server would; it may have run.
-    overloaded,       ///< Rejected for want of capacity; never ran, unless Settings::overloaded_may_have_run.
-    timed_out,        ///< No response in time; it may have run or be running.
-    connect_failed,   ///< No connection; never ran.
-    connection_lost,  ///< The connection was lost while it was in flight; it may have run.
-    cancelled,        ///< Withdrawn by this sidecar; it may have run.
-    not_sent          ///< Never sent; never ran.
+    failed,           ///< The server reported an error; the request may have run.
+    invalid_request,  ///< The request itself is invalid, and every server would reject it; it may have run.
+    overloaded,       ///< Rejected for lack of capacity; never ran, unless Settings::overloaded_may_have_run.
+    timed_out,        ///< No response in time; the request may have run or may still be running.
+    connect_failed,   ///< No connection could be established; the request never ran.
+    connection_lost,  ///< The connection was lost during the attempt; the request may have run.
+    cancelled,        ///< Cancelled by this sidecar; the request may have run.
+    not_sent          ///< Never sent; the request never ran.
 };
 
-/// The first event after a start; a list of ListKind::cached follows.
+/// The first event after a start. A list of ListKind::cached follows.
 struct Started {};
 
-/// The servers that discovery lists, or a change of them.
+/// The servers that discovery lists, a change of them, or a failure to get them.
 struct EndpointList {
     ListKind kind = ListKind::full;
     std::vector<EndpointInfo> servers{};
-    /// For ListKind::failed: after this time, changes that the list in force lacks count as notified; below
-    /// 0: they do already. Absent: not known.
+    /// For ListKind::failed: the time from now after which changes that are missing in the current list count
+    /// as notified. A value below 0 means that they already do. Absent if not known.
     std::optional<Millis> notified_within{};
     /// For ListKind::failed.
     ListFailure failure = ListFailure::rejected;
-    /// For ListKind::failed: the Retry-After that discovery asks for.
+    /// For ListKind::failed: the Retry-After that discovery sent.
     std::optional<Millis> retry_after{};
 };
 
-/// A client's request. It is owed exactly one final answer.
+/// A request from a client. The balancer gives it exactly one final answer.
 struct RequestArrived {
     RequestId id = 0;
-    /// Index into Settings::classes; out of range: handled with the greatest care.
+    /// The index into Settings::classes. A request with an index out of range is treated as non-idempotent.
     std::uint32_t class_index = 0;
-    /// Until the client gives up.
+    /// The time until the client gives up.
     Millis time_left = 0;
-    /// The expected work, as time on a standard core; 0: not known.
+    /// The expected work, as time on a standard core; 0 if not known.
     Millis effort = 0;
-    /// Known to be the client's retry of an earlier request.
+    /// Whether the request is known to be a client's retry of an earlier one.
     bool is_retry = false;
-    /// Index into Settings::tenant_quotas; out of range: none.
+    /// The index into Settings::tenant_quotas. A request with an index out of range has no tenant.
     std::uint32_t tenant = ~0U;
-    /// Its last byte is yet to come (BodyComplete), and time_left counts from there.
+    /// Whether the last byte of the request has not arrived yet. BodyComplete follows, and time_left then
+    /// counts from that event.
     bool body_incomplete = false;
-    /// A hash of its affinity key, the same at every sidecar; 0: it has none.
+    /// A hash of the request's affinity key, which is the same at every sidecar; 0 if it has none.
     std::uint64_t affinity_hash = 0;
 };
 
-/// The last byte of a request that arrived incomplete.
+/// The last byte of a request has arrived (see RequestArrived::body_incomplete).
 struct BodyComplete {
     RequestId id = 0;
     Millis time_left = 0;
 };
 
-/// What has been sent of a request's body is not stored any more: there can be no further attempt.
+/// The part of a request's body that was already sent is no longer stored, so no further attempt is possible.
 struct BodyDiscarded {
     RequestId id = 0;
 };
 
-/// A streamed response has begun; the client has its head, and the attempt is its final answer.
+/// A streamed response has started. The client has received its head, so this attempt gives the final answer.
 struct ResponseStarted {
     RequestId id = 0;
     std::uint32_t attempt = 0;
@@ -118,49 +120,50 @@
 /// An attempt has ended.
 struct AttemptEnded {
     RequestId id = 0;
-    /// Attempts of one request count from 0 in the order of their SendAttempt.
+    /// The number of the attempt. Attempts of one request count from 0 in the order of their SendAttempt
+    /// actions.
     std::uint32_t attempt = 0;
     Outcome outcome = Outcome::completed;
     Millis duration = 0;
-    /// The client has its final answer, by this attempt or before.
+    /// Whether the client has received its final answer, from this attempt or earlier.
     bool request_ended = false;
 };
 
-/// The client has left. No answer is owed any more.
+/// The client has disconnected and no longer needs an answer.
 struct ClientDisconnected {
     RequestId id = 0;
 };
 
-/// A timer set by SetTimer has run out.
+/// A timer that SetTimer requested has expired.
 struct TimerFired {
     TimerToken token = 0;
 };
 
-/// A health check has ended. The simulator's wire defines it; no decision uses it.
+/// A health check has ended. The simulator's protocol defines this event; the balancer ignores it.
 struct HealthCheckEnded {
     ServerId server = 0;
     Outcome outcome = Outcome::completed;
     Millis duration = 0;
 };
 
-/// A message from another sidecar. The simulator's wire defines it; no decision uses it.
+/// A message from another sidecar. The simulator's protocol defines this event; the balancer ignores it.
 struct PeerMessage {
     std::uint32_t from = 0;
     std::vector<std::uint8_t> bytes{};
 };
 
-/// Whether a second process of this sidecar runs beside this one, as in a hot restart: what the fleet shares
-/// out then has one more taker.
+/// Whether a second process of this sidecar runs alongside this one, as in a hot restart. Both processes then
+/// share this sidecar's part of the fleet's limits.
 struct ProcessOverlap {
     bool overlapping = false;
 };
 
-/// Which sidecars are present, in this one's own view of the membership. Without a quorum the view is
-/// ignored, and Settings::fleet_size counts, as where no view is ever given.
+/// The sidecars that are present according to this sidecar's view of the membership. Without a quorum, or
+/// before the first view, Settings::fleet_size is used instead.
 struct MemberView {
-    /// This sidecar included.
+    /// The number of sidecars present, including this one.
     std::uint32_t present = 1;
-    /// More than half of the members expected are present.
+    /// Whether more than half of the expected members are present.
     bool quorum = false;
 };
 
--- a/include/mothring/types.hpp
+++ b/include/mothring/types.hpp
@@ -6,18 +6,19 @@
 
 namespace mothring {
 
-/// A time or a duration in milliseconds, with fractions. Times are on any clock that never goes back.
+/// A time or a duration in milliseconds, with fractions. Times may come from any monotonic clock.
 using Millis = double;
 
-/// Names a server; chosen by the caller, like the other identifiers. Values carry no meaning.
+/// Identifies a server. The caller chooses the value, as for the other identifiers except TimerToken; values
+/// carry no meaning.
 using ServerId = std::uint32_t;
-/// Names an availability zone.
+/// Identifies an availability zone.
 using ZoneId = std::uint32_t;
-/// Names a kind of machine, such as a type with two fast cores.
+/// Identifies a kind of machine, such as a type with two fast cores.
 using KindId = std::uint32_t;
-/// Names a client's request; never used twice.
+/// Identifies a client's request; never reused.
 using RequestId = std::uint64_t;
-/// Names a timer set by the balancer.
+/// Identifies a timer requested by the balancer.
 using TimerToken = std::uint64_t;
 
 }  // namespace mothring
