--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -8,22 +8,22 @@
 namespace {
 
 constexpr double kInitialLimit = 1000;
-/// The limit changes by this share in a millisecond for each unit of relative latency off the target.
+/// The relative change of the limit per millisecond and per unit of relative latency off the target.
 constexpr double kAdjustmentRate = 0.004;
-/// The longest time without enough samples that one adjustment makes up for.
+/// The longest time that one adjustment covers if there were not enough samples before it.
 constexpr Millis kMaxAdjustmentTime = 1000;
-/// The part of the demand that the limit always leaves.
+/// The share of the demand that is always admitted.
 constexpr double kMinDemandShare = 0.25;
-/// The part of the limit that is open to every class, whatever its weight.
+/// The share of the limit that is open to every class, whatever its weight.
 constexpr double kCommonShare = 0.6;
-/// Of what is in flight, what the servers can take before they congest.
-constexpr double kSpareCapacity = 1.25;
-/// A response is expected after this multiple of the mean duration.
+/// The load that servers can take before they congest, relative to their load now.
+constexpr double kCapacityHeadroom = 1.25;
+/// The expected duration of an attempt, as a multiple of the mean duration.
 constexpr double kDurationMargin = 1.25;
 constexpr Millis kDurationWindow = 4 * kRateWindow;
-/// Of the shortest objective, the time constant of the short mean.
+/// The time constant of the short mean, as a multiple of the shortest latency objective.
 constexpr double kShortMeanObjectives = 3;
-/// So that weights which are all 0 can be divided by the highest.
+/// A lower bound for the highest weight; prevents a division by zero if all weights are 0.
 constexpr double kMinHighestWeight = 1e-9;
 
 double highest_weight(const Settings& settings) {
@@ -55,11 +55,12 @@
     const double value = request.over_quota ? settings_.over_quota_weight : 1;
     const double weight =
         request.is_retry ? 0 : value * request.request_class.priority_weight / highest_weight_;
-    // From 1, at the target or below, down to the request's value as responses come later.
-    const double calmness =
+    // The share of the limit that is open to this request in overload. It is 1 at the target latency or
+    // below, and falls to the request's value as the relative latency rises.
+    const double overload_factor =
         std::clamp(3 - 2 * relative_latency_.value() / kTargetRelativeLatency, value, 1.0);
-    const double limit = limit_ * (kCommonShare + (1 - kCommonShare) * weight) * calmness;
-    // A limit of less than one attempt bounds the mean over time.
+    const double limit = limit_ * (kCommonShare + (1 - kCommonShare) * weight) * overload_factor;
+    // A limit of less than one attempt limits the mean number of attempts over time.
     return in_flight_ < limit && (limit >= 1 || short_mean_in_flight_ < limit);
 }
 
@@ -72,10 +73,10 @@
 void AdmissionController::refresh_capacity(Millis now) {
     const double warm_before = survey_.warm_in_pool();
     if (!survey_.refresh(now)) return;
-    const double spare = kSpareCapacity * survey_.warm_in_pool();
-    if (spare >= warm_before) return;
+    const double warm_with_headroom = kCapacityHeadroom * survey_.warm_in_pool();
+    if (warm_with_headroom >= warm_before) return;
     const double in_flight = std::max(mean_in_flight_, short_mean_in_flight_) + 1;
-    limit_ = std::max(min_limit(now), std::min(limit_, in_flight * spare / warm_before));
+    limit_ = std::max(min_limit(now), std::min(limit_, in_flight * warm_with_headroom / warm_before));
 }
 
 void AdmissionController::update_means(Millis now) {
@@ -91,8 +92,8 @@
     const Millis since = std::min(now - relative_latency_.known_at(), kMaxAdjustmentTime);
     relative_latency_.add(relative_latency, now, kRateWindow);
     const double above_target = relative_latency_.value() - kTargetRelativeLatency;
-    // A cut at each chance peak of a mean of few samples would keep a sidecar with little traffic below
-    // target.
+    // With few samples the mean lies above the target by chance at times. Lowering the limit each time would
+    // keep a sidecar with little traffic below the target latency, so the standard error is subtracted.
     const double deviation =
         above_target < 0 ? above_target : std::max(0.0, above_target - relative_latency_.error());
     const double factor = std::exp(-kAdjustmentRate * deviation * since);
@@ -112,9 +113,10 @@
 
 double AdmissionController::in_flight() const { return std::max<double>(mean_in_flight_, in_flight_); }
 
-// Where service alone takes longer than the target, rejecting more only idles the servers: one attempt for
-// each warm server is always allowed, and with many sidecars this one's part of kMinInFlightPerServer. Nor do
-// equal minima starve the busy among the sidecars: each keeps a part of its own demand.
+// Returns the lower bound of the limit. If service alone takes longer than the target latency, more
+// rejections only leave servers idle. One attempt for each warm server is therefore always allowed; in a
+// large fleet this is the sidecar's share of kMinInFlightPerServer. An equal minimum for all sidecars would
+// starve the busy ones, so each sidecar also keeps a share of its own demand.
 double AdmissionController::min_limit(Millis now) const {
     const double demand = kMinDemandShare * kTargetRelativeLatency * demand_.value_at(now) / kRateWindow;
     return std::max(demand, fleet_.in_flight_per_server() * std::max(1.0, survey_.warm_in_pool()));
--- a/src/policy/admission_controller.hpp
+++ b/src/policy/admission_controller.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many attempts may be in flight, and which requests are admitted under that limit.
+/// Admission control: limits the attempts in flight and decides which requests are admitted under the limit.
 #pragma once
 
 #include <cstdint>
@@ -15,41 +15,47 @@
 
 /// A concurrency limit that adapts to latency, with load shedding by priority.
 ///
-/// By Little's law a bound on the attempts in flight bounds the time that they take. The limit follows how
-/// long responses take as a share of their objectives; errors tell nothing of crowding. It grows only while
-/// half of it is used, and comes down from no higher than twice what is in flight. Servers that are warming
-/// up have limits of their own (SlowStart) and do not count here.
+/// By Little's law, a limit on the attempts in flight also limits the time that they take. The limit follows
+/// the relative latency (the duration of responses as a share of their latency objectives). Errors are
+/// ignored, because they do not indicate overload. The limit grows only while at least half of it is used,
+/// and a reduction starts from at most twice the number of attempts in flight. Attempts at servers that are
+/// warming up have limits of their own (SlowStart) and do not count here.
 class AdmissionController {
 public:
-    /// All references must outlive this.
+    /// All references must outlive this object.
     AdmissionController(const Settings& settings, CapacitySurvey& survey, const FleetShare& fleet);
 
-    /// Counts a client's first try of a request into the demand.
+    /// Adds a request that is not a client's retry to the demand.
     void record_demand(Millis latency_objective, Millis now) { demand_.add(latency_objective, now); }
 
-    /// Whether there is capacity for the request. The class with the highest weight may fill the limit,
-    /// others leave it part of it; retries, and requests beyond a quota, have the part that is common to all.
+    /// Returns whether there is capacity for the request. The class with the highest weight may fill the
+    /// limit; other classes leave part of it free. Clients' retries may only use the part that is open to
+    /// every class; requests over a tenant's quota may use more only as far as Settings::over_quota_weight
+    /// allows.
     bool may_admit(const Request& request) const;
 
-    /// Whether the response is expected after the request's deadline: sending it would only fill servers.
+    /// Returns whether the response is expected after the request's deadline. Sending such a request would
+    /// only load the servers.
     bool is_hopeless(const Request& request, Millis now) const;
 
-    /// Lowers the limit if far fewer servers are left: all requests turn to them at once, and late responses
-    /// tell it too late.
+    /// Lowers the limit if the number of warm servers has dropped sharply, e.g. after the loss of a zone. All
+    /// requests then go to the remaining servers at once, and the latency of late responses would lower the
+    /// limit too late.
     void refresh_capacity(Millis now);
 
-    /// Brings the means of the attempts in flight up to date; due before their number changes or is used.
+    /// Updates the means of the attempts in flight. Must be called before their number changes or the means
+    /// are used.
     void update_means(Millis now);
     void attempt_started() { ++in_flight_; }
     void attempt_ended() { --in_flight_; }
 
-    /// Takes the relative latency of an attempt.
+    /// Records the relative latency of an attempt.
     void record_relative_latency(double relative_latency, Millis now);
-    /// Takes the duration of a completed attempt.
+    /// Records the duration of a completed attempt.
     void record_completion(std::uint32_t class_index, Millis duration, Millis now);
 
     bool is_limit_reached() const { return in_flight_ >= limit_; }
-    /// Attempts in flight, or their mean of late where that is more.
+    /// Returns the number of attempts in flight, or their recent mean if that is higher.
     double in_flight() const;
 
 private:
@@ -62,10 +68,10 @@
     Millis shortest_objective_;
     double limit_;
     int in_flight_ = 0;
-    double mean_in_flight_ = 0;        // over kRateWindow
-    double short_mean_in_flight_ = 0;  // over a few objectives
+    double mean_in_flight_ = 0;        // with the time constant kRateWindow
+    double short_mean_in_flight_ = 0;  // with a time constant of a few latency objectives
     Millis means_updated_at_ = 0;
-    DecayingSum demand_{kRateWindow};  // the latency objectives of first tries
+    DecayingSum demand_{kRateWindow};  // the latency objectives of requests that are not retries
     MeanWithError relative_latency_{kMeanSamples};
     std::map<std::uint32_t, DecayingMean> durations_;  // of completed attempts, by class
 };
--- a/src/policy/attempt_rules.cpp
+++ b/src/policy/attempt_rules.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Whether two servers share the memory of idempotency keys.
+/// Returns whether two servers drop each other's repeats of an idempotency key.
 bool share_dedup_scope(DedupScope scope, const EndpointInfo& left, const EndpointInfo& right) {
     switch (scope) {
         case DedupScope::all:
@@ -27,13 +27,14 @@
 bool AttemptRules::may_send(const Request& request, Endpoint& endpoint, Millis now) const {
     if (!may_start_attempt(request, now)) return false;
     if (!placement_allows(settings_, request.class_index, endpoint.info)) return false;
-    if (!endpoint.is_active()) return false;  // rule 3: nothing new to a draining server
+    if (!endpoint.is_active()) return false;  // a draining server must get no new requests
     if (!allows_possible_repeat(request, endpoint.info, now)) return false;
-    // Rule 4: a server that is warming up is not overloaded.
+    // The platform requires that a server that is warming up is not overloaded.
     return !is_warming_up(endpoint.info, settings_, now) || slow_start_.has_token(endpoint, now);
 }
 
-// Rule 1: nothing goes out once there is a final answer.
+// Returns whether the request may have another attempt at any server. The platform requires that no attempt
+// is sent once the request has its final answer.
 bool AttemptRules::may_start_attempt(const Request& request, Millis now) const {
     if (request.has_final_answer || request.response_started || request.body_discarded) return false;
     if (now >= request.deadline || request.attempts.size() >= settings_.max_attempts) return false;
@@ -41,7 +42,8 @@
     return settings_.may_hedge && request.request_class.idempotency != Idempotency::never;
 }
 
-// Rule 2: what may have run is sent again only where that does no harm.
+// Returns whether the request has certainly not run yet, or a repeat at the server is harmless. The platform
+// requires that a request that may have run is repeated only if the repeat is harmless.
 bool AttemptRules::allows_possible_repeat(const Request& request, const EndpointInfo& server, Millis now) {
     const RequestClass& request_class = request.request_class;
     if (request_class.idempotency == Idempotency::always) return true;
--- a/src/policy/attempt_rules.hpp
+++ b/src/policy/attempt_rules.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's rules: whether an attempt may be sent, and whether a request may be rejected.
+/// The requirements of the platform: whether an attempt may be sent, and whether a request may be rejected.
 #pragma once
 
 #include "endpoint.hpp"
@@ -9,18 +9,20 @@
 
 namespace mothring {
 
-/// The only gates: no attempt and no rejection leaves the policy without passing them.
+/// Checks the platform's requirements. The policy checks every attempt with may_send() and every rejection
+/// with may_reject().
 class AttemptRules {
 public:
-    /// All references must outlive this.
+    /// All references must outlive this object.
     AttemptRules(const Settings& settings, const SlowStart& slow_start)
         : settings_(settings), slow_start_(slow_start) {}
 
-    /// Whether the request may be sent to the server now. Refills the server's token bucket if it is warming
-    /// up.
+    /// Returns whether the request may be sent to the server now. Refills the server's token bucket if the
+    /// server is warming up.
     bool may_send(const Request& request, Endpoint& endpoint, Millis now) const;
 
-    /// Whether the client may be promised that its request had no effect, or may have it again.
+    /// Returns whether the request may be rejected. A rejection tells the client that it may safely retry, so
+    /// the request must have had no effect, or a repeat must be harmless.
     bool may_reject(const Request& request, Millis now) const;
 
 private:
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -1,11 +1,13 @@
 /// @file
-/// The facade over the parts of the policy: takes each event to the parts that it concerns, in an order that
-/// is part of the contract, as equal events have to give equal actions.
+/// Implements Balancer as a facade over the modules of the policy. The facade passes each event to the
+/// modules that it concerns. The order of these calls is part of the contract: equal events must give equal
+/// actions, and the modules share one random generator.
 ///
-/// The way of a request: RequestArrived puts it into the request table. place() drops it if it is hopeless,
-/// asks the admission controller for capacity and the endpoint selector for a server, and dispatches it; if
-/// no server may have it now, it waits for a while. AttemptEnded tells the outcome recorder what the attempt
-/// shows, and places the request again or gives it its final answer.
+/// The course of a request: RequestArrived adds the request to the request table. route() ends the request if
+/// it is hopeless; otherwise it asks the admission controller for capacity and the endpoint selector for a
+/// server, and dispatches an attempt. A request for which no server is available waits for a short time.
+/// AttemptEnded passes the outcome to the outcome recorder, and then the request is either routed again or
+/// receives its final answer.
 #include "mothring/balancer.hpp"
 
 #include <algorithm>
@@ -35,9 +37,9 @@
 
 namespace {
 
-/// The share of its latency objective for which a request waits for capacity: what can't be sent by then had
-/// better be tried anew by the client.
-constexpr double kWaitingShare = 1.0 / 16;
+/// The longest wait for capacity, as a share of the request's latency objective. After that time a retry by
+/// the client is more useful than a longer wait.
+constexpr double kMaxWaitShareOfObjective = 1.0 / 16;
 
 Settings validated(Settings settings) {
     validate(settings);
@@ -64,24 +66,24 @@
     void on(const HealthCheckEnded&) {}
     void on(const PeerMessage&) {}
 
-    void list_failed(const EndpointList& failed);
+    void handle_list_failure(const EndpointList& failed);
     void classify(Request& request, const RequestArrived& event);
-    void place(Request& request);
+    void route(Request& request);
     Endpoint* select(const Request& request);
     void dispatch(Request& request, Endpoint& endpoint);
     bool may_wait(const Request& request) const;
-    void wait(Request& request);
+    void wait_for_capacity(Request& request);
     void release_waiting();
     void finish(Request& request);
     void cancel_attempts(const Request& request);
     void set_timer(Millis at, std::optional<RequestId> request);
     std::size_t count_unavailable() const;
-    void act(const auto& action) { actions->emplace_back(action); }
+    void emit(const auto& action) { actions->emplace_back(action); }
 
     const Settings settings;
     Random random;
     Millis now = 0;
-    std::vector<Action>* actions = nullptr;  // of the event being handled
+    std::vector<Action>* actions = nullptr;  // the output of the event that is being handled
 
     RequestTable requests;
     EndpointSet endpoints{settings};
@@ -103,11 +105,11 @@
 // ---- Endpoints ------------------------------------------------------------------------------------------
 
 void Balancer::Impl::on(const Started&) {
-    if (settings.must_subscribe) act(Subscribe{true});
+    if (settings.must_subscribe) emit(Subscribe{true});
 }
 
 void Balancer::Impl::on(const EndpointList& list) {
-    if (list.kind == ListKind::failed) return list_failed(list);
+    if (list.kind == ListKind::failed) return handle_list_failure(list);
     if (list.kind != ListKind::cached) {
         discovery_backoff.reset();
         endpoints.set_stale_at(kNever);
@@ -124,13 +126,14 @@
     release_waiting();
 }
 
-void Balancer::Impl::list_failed(const EndpointList& failed) {
-    // Who has not renewed its subscription within the time that the settings give counts as notified of every
-    // drain (rule 3).
-    const Millis most =
+void Balancer::Impl::handle_list_failure(const EndpointList& failed) {
+    // The platform requires that a sidecar renews a broken subscription within Settings::resubscribe_within.
+    // After that time the sidecar counts as notified of every drain, and each attempt at a draining server
+    // violates the platform's requirements.
+    const Millis max_wait =
         settings.resubscribe_within > 0 ? settings.resubscribe_within : DiscoveryBackoff::kMaxWait;
     const Millis wait = discovery_backoff.wait_after(failed, now, random);
-    set_timer(now + std::min(wait, most), std::nullopt);
+    set_timer(now + std::min(wait, max_wait), std::nullopt);
     if (failed.notified_within) endpoints.set_stale_at(now + *failed.notified_within);
 }
 
@@ -143,10 +146,10 @@
     const Millis objective = request->request_class.latency_objective;
     if (!request->is_retry) admission.record_demand(objective, now);
     request->deadline = event.body_incomplete ? kNever : now + std::max(0.0, event.time_left);
-    request->hold_until = std::min(request->deadline, now + objective * kWaitingShare);
+    request->hold_until = std::min(request->deadline, now + objective * kMaxWaitShareOfObjective);
     retry_budget.deposit();
     if (!event.body_incomplete) set_timer(request->deadline, request->id);
-    place(*request);
+    route(*request);
 }
 
 void Balancer::Impl::classify(Request& request, const RequestArrived& event) {
@@ -157,7 +160,7 @@
     if (event.class_index < settings.classes.size()) {
         request_class = settings.classes[event.class_index];
     } else {
-        // What is known least of is handled with the greatest care.
+        // Nothing is known about an unknown class, so its requests are treated as non-idempotent.
         request_class.idempotency = Idempotency::never;
         request_class.latency_objective = std::max(1.0, event.time_left);
     }
@@ -165,15 +168,15 @@
     request.over_quota = quotas.is_over_quota(event.tenant, random, now);
 }
 
-/// Sends a request to a server, or lets it wait for one, or gives it its final answer.
-void Balancer::Impl::place(Request& request) {
+/// Sends the request to a server, queues it until there is capacity, or sends its final answer.
+void Balancer::Impl::route(Request& request) {
     admission.update_means(now);
     if (!request.is_in_flight() && admission.is_hopeless(request, now)) return finish(request);
     admission.refresh_capacity(now);
     if (Endpoint* const endpoint = select(request)) return dispatch(request, *endpoint);
     if (request.is_in_flight()) return;
     if (!may_wait(request)) return finish(request);
-    wait(request);
+    wait_for_capacity(request);
 }
 
 Endpoint* Balancer::Impl::select(const Request& request) {
@@ -200,13 +203,14 @@
     ++endpoint.in_flight;
     endpoints.join_subset(endpoint);
 
-    // A repeat has to reach its server while that remembers the key: its connection may come up late.
+    // A connection may take long to be established. A repeated attempt must reach its server before the
+    // deduplication window ends, because the server drops the repeat only within that window.
     const RequestClass& request_class = request.request_class;
     const Attempt* const first =
         request_class.idempotency == Idempotency::with_key ? request.first_possible_run() : nullptr;
     const Millis send_by = first ? first->sent_at + request_class.dedup_window : request.deadline;
     request.attempts.push_back({endpoint.info, now, true, true, is_trial, to_warming_up});
-    act(SendAttempt{request.id, endpoint.info.id, request.deadline, std::min(send_by, request.deadline)});
+    emit(SendAttempt{request.id, endpoint.info.id, request.deadline, std::min(send_by, request.deadline)});
 }
 
 bool Balancer::Impl::may_wait(const Request& request) const {
@@ -215,8 +219,8 @@
     return !request.first_possible_run() || request.request_class.idempotency != Idempotency::never;
 }
 
-/// Until there is capacity; its timer ends the wait.
-void Balancer::Impl::wait(Request& request) {
+/// Queues the request until there is capacity. A timer ends the wait at hold_until.
+void Balancer::Impl::wait_for_capacity(Request& request) {
     requests.enqueue(request.id);
     if (request.has_hold_timer) return;
     request.has_hold_timer = true;
@@ -225,7 +229,7 @@
 
 void Balancer::Impl::release_waiting() {
     if (!requests.has_waiting() || admission.is_limit_reached()) return;
-    for (const RequestId id : requests.take_waiting()) place(*requests.find(id));
+    for (const RequestId id : requests.take_waiting()) route(*requests.find(id));
 }
 
 void Balancer::Impl::on(const BodyComplete& event) {
@@ -265,7 +269,7 @@
     if (now >= request->deadline || (!is_in_flight && retry_budget.is_exhausted()))
         finish(*request);
     else if (!request->has_final_answer && !is_in_flight)
-        place(*request);
+        route(*request);
     release_waiting();
 }
 
@@ -277,14 +281,14 @@
     requests.mark_finished(event.id);
 }
 
-/// The only final answer: a rejection where that is true, else a failure.
+/// Sends the request's final answer: a rejection if AttemptRules permits one, otherwise a failure.
 void Balancer::Impl::finish(Request& request) {
     if (request.has_final_answer || request.response_started) return;
     cancel_attempts(request);
     if (rules.may_reject(request, now))
-        act(RejectRequest{request.id, settings.max_retry_after});
+        emit(RejectRequest{request.id, settings.max_retry_after});
     else
-        act(FailRequest{request.id});
+        emit(FailRequest{request.id});
     request.has_final_answer = true;
     requests.mark_finished(request.id);
 }
@@ -292,28 +296,28 @@
 void Balancer::Impl::cancel_attempts(const Request& request) {
     if (!settings.may_cancel) return;
     for (std::uint32_t i = 0; i < request.attempts.size(); ++i)
-        if (request.attempts[i].in_flight) act(CancelAttempt{request.id, i});
+        if (request.attempts[i].in_flight) emit(CancelAttempt{request.id, i});
 }
 
 // ---- Timers ---------------------------------------------------------------------------------------------
 
 void Balancer::Impl::set_timer(Millis at, std::optional<RequestId> request) {
-    act(SetTimer{at, requests.add_timer(request)});
+    emit(SetTimer{at, requests.add_timer(request)});
 }
 
 void Balancer::Impl::on(const TimerFired& event) {
     const std::optional<RequestTable::Timer> timer = requests.take_timer(event.token);
     if (!timer) return;
-    if (!timer->request) return act(Subscribe{true});
+    if (!timer->request) return emit(Subscribe{true});
     Request* const request = requests.find(*timer->request);
     if (!request || request->has_final_answer) return;
     if (now >= request->deadline)
         finish(*request);
     else if (!request->is_in_flight())
-        place(*request);
+        route(*request);
 }
 
-// ---- The interface --------------------------------------------------------------------------------------
+// ---- Public interface -----------------------------------------------------------------------------------
 
 std::size_t Balancer::Impl::count_unavailable() const {
     const auto is_unavailable = [&](const auto& entry) {
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -10,17 +10,18 @@
 
 namespace {
 
-/// A server whose success rate is below this is ejected (io.l5d.successRate as its authors describe it).
+/// The success rate below which a server is ejected, as the authors of io.l5d.successRate recommend.
 constexpr double kSuccessThreshold = 0.9;
-/// Standard errors by which the rate has to be below that of the others.
+/// The number of standard errors by which a server's rate must be below that of the other servers.
 constexpr double kStandardErrors = 3;
 
 bool is_success(const OutlierDetector::Result& result) {
     return result.outcome == Outcome::completed && !result.late;
 }
 
-/// Lateness and a full queue tell nothing of one server where all are crowded.
-bool is_failure_of_its_own(const OutlierDetector::Result& result) {
+/// Returns whether the failure points to this server. Late responses and rejections for want of capacity do
+/// not, because they occur at every server when the whole pool is overloaded.
+bool is_server_specific_failure(const OutlierDetector::Result& result) {
     if (result.outcome == Outcome::timed_out) return result.silent;
     return result.outcome != Outcome::completed && result.outcome != Outcome::overloaded;
 }
@@ -33,8 +34,9 @@
     if (record.health == Health::half_open && attempt.is_trial)
         return record_trial(endpoint, result, now, actions);
     if (!is_attributable_to_server(result.outcome) || !endpoint.is_healthy()) return;
-    // Whoever meets a server seldom fills no window: where others have responded since, it is the server's
-    // doing, and one attempt that found nobody is enough.
+    // A sidecar that seldom uses a server never fills its window. If other servers have responded since the
+    // attempt was sent, the path from this sidecar works and the fault is the server's, so one attempt that
+    // could not reach it is enough to eject it.
     if (result.is_unreachable(request, now) && others_responded_since(endpoint, attempt.sent_at))
         return eject(endpoint, now, actions);
     if (result.outcome == Outcome::overloaded || result.outcome == Outcome::connect_failed)
@@ -44,11 +46,11 @@
     const bool success = is_success(result);
     record.window.add(class_index, success);
     if (success) record.avoided_until.erase(class_index);
-    // Where traffic is thin, or a server fails one class only, that class's part of the window is read as it
-    // stands, and the class alone avoids the server.
+    // With little traffic, or if a server fails one class only, the class's own part of the window is judged
+    // without a comparison, and only this class avoids the server.
     const bool others_succeed =
         record.window.success_rate_without(class_index, kPriorResponses) >= kSuccessThreshold;
-    if (is_failure_of_its_own(result) && (others_succeed || !record.window.is_full()) &&
+    if (is_server_specific_failure(result) && (others_succeed || !record.window.is_full()) &&
         record.window.success_rate_of(class_index) < kSuccessThreshold)
         record.avoided_until[class_index] = now + kEjectionTime;
     if (!success && !others_succeed && is_below_threshold(endpoint) && may_eject(endpoint))
@@ -58,7 +60,7 @@
 void OutlierDetector::record_trial(Endpoint& endpoint, const Result& result, Millis now,
                                    std::vector<Action>& actions) {
     if (!is_attributable_to_server(result.outcome)) {
-        endpoint.outlier.health = Health::ejected;  // undecided: the next request is the trial
+        endpoint.outlier.health = Health::ejected;  // the trial had no result; the next request repeats it
         return;
     }
     if (is_success(result))
@@ -96,20 +98,22 @@
     return entry != avoided_until.end() && now < entry->second;
 }
 
-// Shared slowness makes every server fail, and ejecting them all would make it an outage. So a server is
-// compared with the others: it is ejected below the threshold times their success rate, less some standard
-// errors of a window with that rate. A window not yet full is judged as if the rest were successes.
+// Returns whether the server's success rate is low compared with the other servers. When all servers are
+// slow, every rate is low, and ejecting them all would turn the slowness into an outage. A server is
+// therefore ejected only if its rate is below the threshold times the others' rate, minus kStandardErrors
+// standard errors of a window with that rate. The missing entries of a window that is not full count as
+// successes.
 bool OutlierDetector::is_below_threshold(const Endpoint& endpoint) const {
     const SuccessWindow& window = endpoint.outlier.window;
     const double unfilled = static_cast<double>(kWindowSize - window.size());
     const double rate = (window.successes() + unfilled) / kWindowSize;
-    if (rate >= kSuccessThreshold) return false;  // whatever the others do
+    if (rate >= kSuccessThreshold) return false;  // high enough without a comparison
     const double others = success_rate_of_others(endpoint);
     const double error = std::sqrt(others * (1 - others) / static_cast<double>(kWindowSize));
     return rate < kSuccessThreshold * others - kStandardErrors * error;
 }
 
-// Of the healthy servers; 1 where they have no outcome yet.
+// Returns the success rate of the other healthy servers, or 1 if they have no outcomes yet.
 double OutlierDetector::success_rate_of_others(const Endpoint& endpoint) const {
     double successes = 0;
     double all = 0;
@@ -129,8 +133,8 @@
     });
 }
 
-// Panic threshold: half of the listed servers stay in the pool, whatever their windows say; for each class,
-// half of those open to it.
+// Panic threshold: at least half of the listed servers stay in the pool, whatever their success rates. The
+// same holds for each class and the servers that are open to it.
 bool OutlierDetector::may_eject(const Endpoint& endpoint) const {
     for (std::uint32_t class_index = 0; class_index < settings_.classes.size(); ++class_index) {
         if (!placement_allows(settings_, class_index, endpoint.info)) continue;
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which servers are outliers: ejected from the pool, tried once after a time, restored.
+/// Outlier detection: ejects failing servers, tries them again after a time, and restores them.
 #pragma once
 
 #include <cstdint>
@@ -12,46 +12,47 @@
 
 namespace mothring {
 
-/// Ejects servers by the success rate over a window of their last attempts, after the accrual policy
-/// io.l5d.successRate and its description in "Making Microservices More Resilient".
+/// Ejects servers whose success rate over a window of their last attempts is too low. The policy follows
+/// Linkerd's failure accrual io.l5d.successRate and its description in "Making Microservices More Resilient".
 class OutlierDetector {
 public:
-    /// @param settings, endpoints  must outlive this.
+    /// @param settings, endpoints  must outlive this object.
     OutlierDetector(const Settings& settings, EndpointSet& endpoints)
         : settings_(settings), endpoints_(endpoints) {}
 
-    /// How an attempt ended.
+    /// The outcome of an attempt, with what the other modules know about it.
     struct Result {
         Outcome outcome = Outcome::completed;
-        /// Completed after its latency objective, at a server that is warm.
+        /// The attempt completed after its latency objective, at a server that is not warming up.
         bool late = false;
-        /// Timed out with no sign of life from the server.
+        /// The attempt timed out, and the server has sent no response since the attempt was sent.
         bool silent = false;
 
-        /// The server could not be reached in the request's time.
+        /// Returns whether the server could not be reached although the request still had time.
         bool is_unreachable(const Request& request, Millis now) const {
             return silent || (outcome == Outcome::connect_failed && now < request.deadline);
         }
     };
-    /// Records an attempt's result in the server's window, and ejects or restores the server by it.
+    /// Records an attempt's result in the server's window, and ejects or restores the server if the window
+    /// calls for it.
     void record(Endpoint& endpoint, const Request& request, const Attempt& attempt, const Result& result,
                 Millis now, std::vector<Action>& actions);
 
-    /// The server was started anew: nothing recorded holds.
+    /// Discards all records of a server, because a new process has started under its name.
     void reset(Endpoint& endpoint);
-    /// The server is gone.
+    /// Removes a server that no longer exists.
     void forget(ServerId id) { ejected_.erase(id); }
 
-    /// Whether an ejected server is due for its half-open trial.
+    /// Returns whether an ejected server is due for its half-open trial.
     static bool is_trial_due(const Endpoint& endpoint, Millis now) {
         return endpoint.outlier.health == Health::ejected && now >= endpoint.outlier.ejected_until;
     }
     static void begin_trial(Endpoint& endpoint) { endpoint.outlier.health = Health::half_open; }
 
-    /// Whether a healthy server fails this class of requests.
+    /// Returns whether a class avoids a server because attempts of this class recently failed there.
     static bool is_avoided_by(std::uint32_t class_index, const Endpoint& endpoint, Millis now);
 
-    /// The servers that are ejected or half-open.
+    /// Returns the servers that are ejected or half-open.
     const std::set<ServerId>& ejected() const { return ejected_; }
 
 private:
