--- a/src/policy/outcome_recorder.cpp
+++ b/src/policy/outcome_recorder.cpp
@@ -8,9 +8,11 @@
 
 namespace {
 
-/// The relative latency of what takes longer, or has no response in time.
+/// The upper bound of a relative latency. It is also recorded for overload, and for a timeout that is not
+/// attributed to a dead server.
 constexpr double kMaxRelativeLatency = 1.5;
-/// Where fewer attempts end in time than this, timeouts are shared slowness and not a dead server.
+/// The share of attempts that must end in time for a timeout to be attributed to one server. Below this share
+/// most attempts time out, so the cause is shared slowness and not a dead server.
 constexpr double kMinShareInTime = 0.5;
 
 }  // namespace
@@ -35,14 +37,14 @@
     parts_.outliers.record(endpoint, request, attempt, result, now, actions);
 }
 
-// It timed out, and nothing has come from the server since it was sent. That is a dead server or a lost path,
-// unless most attempts end so.
+// Returns whether the attempt timed out and the server has sent no response since the attempt was sent. That
+// indicates a dead server or a lost network path, unless most attempts time out.
 bool OutcomeRecorder::is_silent(const Endpoint& endpoint, const Attempt& attempt, Outcome outcome,
                                 Millis now) {
     const bool timed_out = outcome == Outcome::timed_out;
-    in_time_.add(timed_out ? 0.0 : 1.0, now, kMeanSamples, kRateWindow);
+    in_time_share_.add(timed_out ? 0.0 : 1.0, now, kMeanSamples, kRateWindow);
     return timed_out && endpoint.activity.responded_at < attempt.sent_at &&
-           in_time_.value() > kMinShareInTime;
+           in_time_share_.value() > kMinShareInTime;
 }
 
 void OutcomeRecorder::record_activity(Endpoint& endpoint, const Attempt& attempt, Outcome outcome,
@@ -57,8 +59,8 @@
     if (silent || may_mean_departure(outcome)) activity.suspected_at = now;
 }
 
-// Of completed attempts, and of those that found a crowded server; other failures tell nothing of its
-// latency.
+// Records the relative latency of completed attempts and of attempts that met an overloaded server. Other
+// failures say nothing about the server's latency.
 void OutcomeRecorder::record_latency(Endpoint& endpoint, const Request& request, const AttemptEnded& ended,
                                      bool silent, Millis now) {
     double relative_latency = kMaxRelativeLatency;
--- a/src/policy/outcome_recorder.hpp
+++ b/src/policy/outcome_recorder.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What an attempt that has ended shows, told to each part that goes by it.
+/// Passes the outcome of each attempt to the modules that depend on it.
 #pragma once
 
 #include <vector>
@@ -16,9 +16,11 @@
 
 namespace mothring {
 
+/// Updates the server's activity record and the latency, admission, zone health and outlier modules with the
+/// outcome of each attempt.
 class OutcomeRecorder {
 public:
-    /// The parts. All references must outlive the recorder.
+    /// The modules to update. All references must outlive the recorder.
     struct Parts {
         EndpointSet& endpoints;
         OutlierDetector& outliers;
@@ -29,7 +31,7 @@
     };
     explicit OutcomeRecorder(const Parts& parts) : parts_(parts) {}
 
-    /// Takes an attempt that has ended at a server that is still known.
+    /// Records an attempt that has ended at a server that is still known.
     void record(Endpoint& endpoint, const Request& request, const Attempt& attempt, const AttemptEnded& ended,
                 Millis now, std::vector<Action>& actions);
 
@@ -41,7 +43,7 @@
                         Millis now);
 
     Parts parts_;
-    DecayingMean in_time_{1};  // the share of attempts that do not time out
+    DecayingMean in_time_share_{1};  // the recent share of attempts that did not time out
 };
 
 }  // namespace mothring
--- a/src/policy/placement.hpp
+++ b/src/policy/placement.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which classes of requests may go to which servers.
+/// Placement constraints: which request classes may be sent to which servers.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace mothring {
 
-/// Whether a class may go to a server. A class that is not known may be confined as any of the known ones: it
-/// may go only where all of them may.
+/// Returns whether a class may be sent to a server. An unknown class may be subject to the constraints of any
+/// known class, so it may be sent only to servers that all classes allow.
 bool placement_allows(const Settings& settings, std::uint32_t class_index, const EndpointInfo& server);
 
-/// Whether a class of higher priority is confined to servers of which this is one.
+/// Returns whether the server belongs to those that a class of higher priority is confined to.
 bool is_reserved_for_others(const Settings& settings, std::uint32_t class_index, double priority_weight,
                             const EndpointInfo& server);
 
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -1,17 +1,18 @@
 /// @file
-/// How many retries are allowed for the requests that arrive.
+/// A retry budget: limits retries to a share of the requests that arrive.
 #pragma once
 
 #include <algorithm>
 
 namespace mothring {
 
-/// Without it each request would ask a crowded pool as often as the limits allow.
+/// Limits the retries of all requests together. Without the budget each request would make as many attempts
+/// as Settings::max_attempts allows at an overloaded pool.
 class RetryBudget {
 public:
-    /// A request has arrived.
+    /// Adds the credit of a request that has arrived.
     void deposit() { balance_ = std::min(balance_ + kRetriesPerRequest, kMaxBurst); }
-    /// A retry is sent.
+    /// Removes the credit of a retry that is sent.
     void withdraw() { balance_ -= 1; }
     bool is_exhausted() const { return balance_ < 1; }
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Of the multiple that makes a server collapse; the rest is for machines that are unlike.
+/// The share of Settings::overload_multiple that is used. The rest is a margin for machines that differ from
+/// the mean.
 constexpr double kOverloadMargin = 0.7;
 
 }  // namespace
@@ -27,18 +28,22 @@
 }
 
 double SlowStart::tokens_per_millisecond(const Endpoint& endpoint, Millis now) const {
-    const double least = settings_.slow_start_min_capacity;
-    const double capacity = least + (1 - least) * warm_up_progress(endpoint.info, settings_, now);
+    const double min_capacity = settings_.slow_start_min_capacity;
+    const double capacity =
+        min_capacity + (1 - min_capacity) * warm_up_progress(endpoint.info, settings_, now);
     const std::optional<double> rate_of_kind = survey_.rate_of(endpoint.info.kind);
-    // While its responses come in time it is sent most of what would make it collapse; else just its share. A
-    // kind with no warm server shows nothing: at its share of the mean it holds if it is not slower than that
-    // by the whole multiple.
-    const bool is_cautious =
+    // While its responses are quick, the server is sent most of what would overload it; otherwise it is sent
+    // only its share. A kind without a warm server has no measured rate, so the mean rate of all kinds
+    // applies. At its plain share of that mean, the server is safe unless its kind is slower than the mean by
+    // the whole overload multiple.
+    const bool is_limited_to_share =
         latencies_.expected_warming_up(endpoint, now) > kTargetRelativeLatency || !rate_of_kind;
-    const double multiple = is_cautious ? 1 : std::max(1.0, kOverloadMargin * settings_.overload_multiple);
-    // A slow kind among fast ones gets no more than its own do.
+    const double multiple =
+        is_limited_to_share ? 1 : std::max(1.0, kOverloadMargin * settings_.overload_multiple);
+    // A server of a slow kind gets no more than other servers of its own kind.
     const double rate = rate_of_kind ? std::min(survey_.rate(), *rate_of_kind) : survey_.rate();
-    // Never less than the trials of a few sidecars.
+    // The rate is at least that of the half-open trials of a few sidecars: kMinInFlightPerServer attempts of
+    // the whole fleet in kEjectionTime.
     return std::max(multiple * capacity * rate, fleet_.in_flight_per_server() / kEjectionTime);
 }
 
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which requests are beyond their tenant's share of the service.
+/// Tenant quotas: which requests exceed their tenant's share of the service.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,18 @@
 
 namespace mothring {
 
-/// A tenant that asks for more than its share of what arrives here, in a burst or by clients that retry at
-/// once, has that much of its requests counted as beyond its quota. In a crowd they find capacity for what
-/// they are worth, so that they starve nobody else; without a crowd nothing changes.
+/// Measures each tenant's share of the requests that arrive here. If a tenant exceeds its quota, in a burst
+/// or because its clients retry at once, the excess part of its requests counts as over quota. In overload
+/// the admission controller admits those requests only according to their reduced weight, so that they do not
+/// starve other tenants. Without overload nothing changes.
 class TenantQuotas {
 public:
     /// @param settings  must outlive this.
     explicit TenantQuotas(const Settings& settings)
         : settings_(settings), requests_(settings.tenant_quotas.size(), DecayingSum{kWindow}) {}
 
-    /// Counts a request. With tenants each call draws one random number.
-    /// @return whether it is beyond the quota.
+    /// Counts a request. Each call for a known tenant draws one random number.
+    /// @return whether the request is over its tenant's quota.
     bool is_over_quota(std::uint32_t tenant, Random& random, Millis now) {
         if (tenant >= requests_.size()) return false;
         requests_[tenant].add(1, now);
@@ -34,7 +35,7 @@
 
 private:
     static constexpr Millis kWindow = 4 * kRateWindow;
-    /// Requests at the agreed shares that are assumed before any arrive.
+    /// The number of assumed requests, distributed according to the quotas, before any request has arrived.
     static constexpr double kPriorRequests = 20;
 
     const Settings& settings_;
--- a/src/policy/zone_health.cpp
+++ b/src/policy/zone_health.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Failures, of any servers of a zone, after which it is out of reach.
+/// The number of failures, at any servers of a zone, after which the zone counts as unreachable.
 constexpr int kFailuresUntilUnreachable = 3;
 
 }  // namespace
--- a/src/policy/zone_health.hpp
+++ b/src/policy/zone_health.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Zones that are out of reach as a whole.
+/// Detection of zones that cannot be reached as a whole.
 #pragma once
 
 #include <map>
@@ -9,22 +9,22 @@
 
 namespace mothring {
 
-/// Counts, for each zone, attempts that found nobody, at one server after another, since one of them
-/// responded. A zone with enough of them is avoided for kEjectionTime after the last. Servers that started
-/// since are not concerned.
+/// Counts, for each zone, the attempts that could not reach their server since a server of the zone last
+/// responded. Consecutive failures at the same server count once. A zone with enough failures is avoided for
+/// kEjectionTime after the last one. Servers that started after the last failure are not affected.
 class ZoneHealth {
 public:
-    /// A server could not be reached.
-    /// @return whether its zone is out of reach by this.
+    /// Records that a server could not be reached.
+    /// @return whether this failure makes its zone unreachable.
     bool record_unreachable(const EndpointInfo& server, Millis now);
 
-    /// A server responded.
+    /// Records a response of a server.
     void record_response(const EndpointInfo& server);
 
-    /// Whether a server is in a zone that is out of reach.
+    /// Returns whether the zone of a server is unreachable for this server.
     bool is_unreachable(const EndpointInfo& server, Millis now) const;
 
-    /// Whether any zone may be out of reach.
+    /// Returns whether any zone may be unreachable.
     bool any_unreachable(Millis now) const { return now < unreachable_until_; }
 
 private:
