--- a/tests/policy/admission_controller_test.cpp
+++ b/tests/policy/admission_controller_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many attempts may be in flight, and which requests wait or are rejected.
+/// Tests of admission control: how many attempts may be in flight, and which requests wait or are rejected.
 #include <cstdint>
 #include <variant>
 #include <vector>
@@ -10,7 +10,7 @@
 namespace mothring::test {
 namespace {
 
-TEST(AdmissionController, BoundsAttemptsInFlightInACrowdAndRejectsTheRest) {
+TEST(AdmissionController, LimitsAttemptsInFlightInOverloadAndRejectsTheRest) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(4));
     harness.complete_in_flight(harness.start_requests(200), 700);  // nearly twice the latency objective
@@ -18,10 +18,10 @@
     const int in_flight = harness.count_in_flight(ids);
     int rejected = 0;
     EXPECT_LT(in_flight, 150);
-    EXPECT_GE(in_flight, 4) << "never below one attempt an active server";
+    EXPECT_GE(in_flight, 4) << "the limit never falls below one attempt per active server";
     harness.advance(300);
     for (const RequestId id : ids) rejected += harness.was_rejected(id);
-    EXPECT_GE(rejected, 200 - in_flight) << "they wait briefly, then are rejected";
+    EXPECT_GE(rejected, 200 - in_flight) << "requests over the limit wait briefly and are then rejected";
 }
 
 TEST(AdmissionController, KeepsItsLimitAfterOneSlowResponse) {
@@ -39,7 +39,7 @@
     EXPECT_EQ(harness.count_in_flight(harness.start_requests(40)), 40);
 }
 
-TEST(AdmissionController, AdmitsTheClassOfHighestWeightInACrowd) {
+TEST(AdmissionController, AdmitsTheClassOfHighestWeightInOverload) {
     const RequestClass cheap = make_class(Idempotency::always);
     RequestClass valuable = make_class(Idempotency::never);
     valuable.priority_weight = 8;
@@ -50,7 +50,7 @@
     EXPECT_TRUE(harness.is_in_flight(harness.start_request(1, 2000)));
 }
 
-TEST(AdmissionController, LeavesCapacityToFirstAttemptsWhereClientsRetry) {
+TEST(AdmissionController, ReservesCapacityForFirstAttemptsIfClientsRetry) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(10));
     overload(harness);
@@ -60,7 +60,7 @@
     EXPECT_GT(first_attempts, 0);
 }
 
-TEST(AdmissionController, RejectsUnsentWhatCannotBeAnsweredInTime) {
+TEST(AdmissionController, RejectsARequestUnsentIfItsDeadlineCannotBeMet) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(4));
     for (int i = 0; i < 20; ++i) run_request(harness, Outcome::completed, 100);
@@ -83,21 +83,22 @@
     EXPECT_EQ(order, (std::vector<RequestId>{newer, older}));
 }
 
-TEST(AdmissionController, KeepsALeastLimitThatTheFleetShares) {
+TEST(AdmissionController, KeepsAMinimumLimitSharedByTheFleet) {
     for (const std::uint32_t sidecars : {3U, 40U}) {
         PolicyHarness harness = harness_in_fleet(sidecars, 20);
         for (int i = 0; i < 3; ++i) overload(harness, sidecars == 3 ? 100 : 10);
         const int in_flight = harness.count_in_flight(harness.start_requests(200, 2000));
         if (sidecars == 3) {
-            EXPECT_GE(in_flight, 12) << "its part of the least limit";
+            EXPECT_GE(in_flight, 12) << "the sidecar's share of the minimum limit";
         } else {
             EXPECT_LE(in_flight, 4);
         }
     }
 }
 
-// A sidecar of a large fleet has nothing in flight when a request arrives, so that it is never full.
-TEST(AdmissionController, SendsLessInACrowdThoughNothingIsInFlight) {
+// Guards against a limit that never applies in a large fleet: a sidecar there has no attempts in flight when
+// a request arrives, so its limit is never reached.
+TEST(AdmissionController, SendsLessInOverloadAlthoughNothingIsInFlight) {
     PolicyHarness harness = harness_in_fleet(1000, 30);
     const auto count_sent = [&](Millis latency) {
         int count = 0;
@@ -111,14 +112,14 @@
     };
     EXPECT_EQ(count_sent(60), 60);
     EXPECT_LT(count_sent(700), 30);
-    EXPECT_GT(count_sent(60), 40) << "and comes back";
+    EXPECT_GT(count_sent(60), 40) << "the sidecar recovers after the overload";
 }
 
-TEST(AdmissionController, KeepsAPartOfABusySidecarsDemand) {
+TEST(AdmissionController, AlwaysAdmitsAShareOfABusySidecarsDemand) {
     PolicyHarness harness = harness_in_fleet(1000, 30);
     std::vector<RequestId> ids;
     int sent = 0;
-    for (int i = 0; i < 1000; ++i) {  // 100 a second, answered 700 ms later
+    for (int i = 0; i < 1000; ++i) {  // 100 requests per second, each completed after 700 ms
         ids.push_back(harness.start_request(0, 2000));
         if (i >= 70 && harness.is_in_flight(ids[i - 70]))
             harness.end_attempt(ids[i - 70], Outcome::completed, 0);
@@ -126,10 +127,10 @@
     }
     for (int i = 500; i < 1000; ++i) sent += harness.attempts_of(ids[i]) > 0;
     EXPECT_GT(sent, 15);
-    EXPECT_LT(sent, 250) << "but far from all";
+    EXPECT_LT(sent, 250) << "most requests must still be rejected";
 }
 
-TEST(AdmissionController, ForgetsACrowdByTimeWhereResponsesAreRare) {
+TEST(AdmissionController, ForgetsAnOverloadOverTimeIfResponsesAreRare) {
     PolicyHarness harness = harness_in_fleet(40, 10);
     for (int i = 0; i < 20; ++i) harness.complete_in_flight(harness.start_requests(4, 2000), 230);
     for (int i = 0; i < 4; ++i) harness.complete_in_flight(harness.start_requests(4, 2000), 700);
@@ -144,8 +145,8 @@
     EXPECT_GT(sent, 30);
 }
 
-// In a lull few attempts are in flight: one late response does not take the limit down to those.
-TEST(AdmissionController, KeepsItsLimitInALull) {
+// Guards against a limit that one late response lowers to the few attempts in flight during low traffic.
+TEST(AdmissionController, KeepsItsLimitDuringLowTraffic) {
     PolicyHarness harness = harness_in_fleet(40, 10);
     for (int round = 0; round < 40; ++round)
         harness.complete_in_flight(harness.start_requests(10, 2000), 192);
@@ -153,23 +154,26 @@
     EXPECT_GE(harness.count_in_flight(harness.start_requests(10, 2000)), 5);
 }
 
-// Of latencies that vary, ten in a row often lie above the target though their mean lies below it.
-TEST(AdmissionController, KeepsItsLimitWhereLatenciesVaryAroundAGoodMean) {
+// Guards against lowering the limit on random variation: ten latencies in a row often lie above the target
+// although their long-term mean lies below it.
+TEST(AdmissionController, KeepsItsLimitIfLatenciesVaryAroundAMeanBelowTheTarget) {
     const RequestClass cheap = make_class(Idempotency::always);
     RequestClass valuable = make_class(Idempotency::never);
     valuable.priority_weight = 3;
     EXPECT_LT(count_rejected_without_crowd(make_settings({cheap, valuable}), kNoTenant, 350), 50);
 }
 
-// A mean of few responses lies above the target by chance for seconds on end.
-TEST(AdmissionController, KeepsItsLimitWhereFewResponsesScatter) {
+// Guards against lowering the limit on few samples: a mean of few responses may lie above the target by
+// chance for several seconds.
+TEST(AdmissionController, KeepsItsLimitIfFewResponsesVary) {
     Settings settings = make_settings();
     settings.fleet_size = 100;
     EXPECT_LT(count_rejected_without_crowd(settings, kNoTenant, 430, 40), 30);
 }
 
-// What all sidecars sent to three zones, one cannot take; each would learn it from responses too late.
-TEST(AdmissionController, ReducesItsLimitAtOnceWithLostZones) {
+// Guards against overloading the remaining zone after a loss: it cannot take the requests of three zones, and
+// late responses would lower each sidecar's limit too late.
+TEST(AdmissionController, LowersItsLimitAtOnceWhenZonesAreLost) {
     PolicyHarness harness = harness_in_fleet(100, 60);
     for (int i = 0; i < 100; ++i) {
         harness.complete_in_flight(harness.start_requests(60, 5000), 150);
@@ -179,12 +183,12 @@
             const bool is_lost = harness.server_of(id) % 3 != 0;
             harness.end_attempt(id, is_lost ? Outcome::connect_failed : Outcome::completed, 1);
         }
-    // One zone after the other was found lost.
+    // The two lost zones are detected one after the other.
     EXPECT_LE(harness.count_in_flight(harness.start_requests(100, 5000)), 45);
 }
 
-// A release that drains servers a few at a time leaves the limit to the latencies; one that drains all of a
-// small fleet's does not.
+// A release that drains a few servers at a time must leave the limit to the latencies. Draining most servers
+// of a small fleet at once must lower the limit.
 TEST(AdmissionController, KeepsItsLimitWhileServersDrain) {
     PolicyHarness harness = harness_in_fleet(2, 12);
     for (int i = 0; i < 100; ++i) harness.complete_in_flight(harness.start_requests(20, 5000), 100);
--- a/tests/policy/attempt_rules_test.cpp
+++ b/tests/policy/attempt_rules_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The platform's rules, each by what would tempt the policy to break it.
+/// Tests of the platform's requirements for attempts and rejections, each in a situation in which the policy
+/// could violate it.
 #include "attempt_rules.hpp"
 
 #include <cstdint>
@@ -15,8 +16,8 @@
 constexpr Millis kNow = 100000;
 constexpr Millis kDedupWindow = 300;
 
-/// The rules with the parts that they ask, and a server for each case.
-class AttemptRulesAlone : public testing::Test {
+/// Provides AttemptRules without a balancer, with the modules that it depends on and a server.
+class AttemptRulesWithoutBalancer : public testing::Test {
 protected:
     static Request make_request(Idempotency idempotency, DedupScope scope = DedupScope::all) {
         Request request;
@@ -25,7 +26,7 @@
         return request;
     }
 
-    // An attempt that has ended and may have run.
+    // Returns an attempt that has ended and may have run.
     static Attempt possible_run(const EndpointInfo& server = {}) {
         Attempt attempt;
         attempt.server = server;
@@ -52,16 +53,16 @@
     return harness;
 }
 
-TEST(AttemptRules, AnswerAWaitingRequestInTime) {
+TEST(AttemptRules, AnswerAWaitingRequestByItsDeadline) {
     PolicyHarness harness(make_settings({make_class(Idempotency::never)}));
     const RequestId id = harness.start_request(0, 50);
     EXPECT_EQ(harness.answers_of(id), 0);
     harness.expect_all_answered();
     EXPECT_EQ(harness.answers_of(id), 1);
-    EXPECT_TRUE(harness.was_rejected(id)) << "it never went out, so trying again is harmless";
+    EXPECT_TRUE(harness.was_rejected(id)) << "the request was never sent, so a retry is harmless";
 }
 
-TEST(AttemptRules, NeitherResendNorRejectANonIdempotentRequestThatMayHaveRun) {
+TEST(AttemptRules, NeitherRetryNorRejectANonIdempotentRequestThatMayHaveRun) {
     for (const Outcome outcome : {Outcome::failed, Outcome::timed_out, Outcome::connection_lost}) {
         PolicyHarness harness = harness_of_three_servers(make_class(Idempotency::never));
         const RequestId id = harness.start_request();
@@ -80,7 +81,7 @@
     EXPECT_FALSE(harness.was_rejected(id));
 }
 
-TEST(AttemptRules, ResendAnIdempotentRequestAfterAnything) {
+TEST(AttemptRules, RetryAnIdempotentRequestAfterAnyFailure) {
     for (const Outcome outcome : {Outcome::failed, Outcome::connection_lost, Outcome::overloaded}) {
         PolicyHarness harness = harness_of_three_servers(make_class(Idempotency::always));
         const RequestId id = harness.start_request();
@@ -89,7 +90,7 @@
     }
 }
 
-TEST(AttemptRules, KeepAKeyedRequestInItsDedupZoneAndWindow) {
+TEST(AttemptRules, RetryAKeyedRequestOnlyInItsDedupZoneAndWindow) {
     PolicyHarness harness(make_settings({make_class(Idempotency::with_key, DedupScope::zone, 300)}));
     harness.deliver_list(ListKind::full, make_servers(9));
     for (int i = 0; i < 30; ++i) {
@@ -99,13 +100,13 @@
         if (i % 3) {
             EXPECT_EQ(harness.server_of(id) % 3, first % 3);
         } else {
-            EXPECT_EQ(harness.attempts_of(id), 1U) << "the window has passed";
+            EXPECT_EQ(harness.attempts_of(id), 1U) << "the deduplication window has ended";
         }
         while (harness.is_in_flight(id)) harness.end_attempt(id, Outcome::completed, 1);
     }
 }
 
-TEST(AttemptRules, RejectAKeyedRequestThatMayHaveRunOnlyInScopeAll) {
+TEST(AttemptRules, RejectAKeyedRequestThatMayHaveRunOnlyWithDedupScopeAll) {
     for (const DedupScope scope : {DedupScope::zone, DedupScope::all}) {
         PolicyHarness harness(make_settings({make_class(Idempotency::with_key, scope)}));
         harness.deliver_list(ListKind::full, make_servers(1));
@@ -117,7 +118,7 @@
     }
 }
 
-TEST(AttemptRules, CountAnOverloadedAttemptAsRunWhereTheSettingsSaySo) {
+TEST(AttemptRules, TreatAnOverloadedAttemptAsPossiblyRunIfConfigured) {
     for (const Idempotency idempotency : {Idempotency::never, Idempotency::with_key, Idempotency::always}) {
         Settings settings = make_settings({make_class(idempotency, DedupScope::zone)});
         settings.overloaded_may_have_run = true;
@@ -146,7 +147,7 @@
     }
 }
 
-TEST(AttemptRules, ResendElsewhereWhatNeverRan) {
+TEST(AttemptRules, RetryARequestThatNeverRanAtAnotherServer) {
     for (const Idempotency idempotency : {Idempotency::always, Idempotency::with_key, Idempotency::never}) {
         for (const Outcome outcome : {Outcome::overloaded, Outcome::connect_failed}) {
             PolicyHarness harness(make_settings({make_class(idempotency)}));
@@ -160,7 +161,7 @@
     }
 }
 
-TEST_F(AttemptRulesAlone, ResendAKeyedRequestInItsScopeAndWindowOnly) {
+TEST_F(AttemptRulesWithoutBalancer, RetryAKeyedRequestOnlyInItsDedupScopeAndWindow) {
     const EndpointInfo first_server{1, 2, 3, EndpointState::active, 0, 0};
     struct Case {
         DedupScope scope;
@@ -180,7 +181,7 @@
     }
 }
 
-TEST_F(AttemptRulesAlone, RejectWhatMayHaveRunOnlyWhereARepeatDoesNoHarm) {
+TEST_F(AttemptRulesWithoutBalancer, RejectARequestThatMayHaveRunOnlyIfARepeatIsHarmless) {
     Request request = make_request(Idempotency::never);
     EXPECT_TRUE(rules.may_reject(request, kNow)) << "it has not run";
     request.attempts = {possible_run()};
--- a/tests/policy/balancer_test.cpp
+++ b/tests/policy/balancer_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The balancer as a whole: unknown names, clock steps, deadlines, streamed responses.
+/// Tests of the balancer as a whole: unknown identifiers, clock steps, deadlines, streamed responses.
 #include <vector>
 
 #include "support/policy_harness.hpp"
@@ -8,7 +8,7 @@
 namespace mothring::test {
 namespace {
 
-TEST(Balancer, IgnoresEventsAboutUnknownNames) {
+TEST(Balancer, IgnoresEventsWithUnknownIdentifiers) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(2));
     for (const Event& event :
@@ -25,7 +25,7 @@
     EXPECT_TRUE(harness.last_actions.empty());
 }
 
-TEST(Balancer, SurvivesClockStepsOfZeroAndOfMinutes) {
+TEST(Balancer, HandlesClockStepsOfZeroAndOfMinutes) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(3));
     for (int i = 0; i < 50; ++i) run_request(harness, Outcome::completed, 0);
@@ -36,15 +36,16 @@
     EXPECT_GT(run_request(harness, Outcome::completed, 10), 0U);
 }
 
-TEST(Balancer, TakesZeroAsARequestsIdentifier) {
+TEST(Balancer, AcceptsZeroAsRequestIdentifier) {
     PolicyHarness harness(make_settings());
     harness.next_id = 0;
     harness.start_request(0, 500);
     harness.expect_all_answered();
 }
 
-// Giving up at the latency objective makes clients repeat what a server still works on.
-TEST(Balancer, WaitsForALateResponseToTheClientsDeadline) {
+// Guards against ending a request at its latency objective: clients would then repeat a request that a server
+// is still processing.
+TEST(Balancer, WaitsForALateResponseUntilTheClientsDeadline) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(2));
     const RequestId id = harness.start_request(0, 1000);
@@ -55,7 +56,7 @@
     EXPECT_EQ(harness.answers_of(id), 1);
 }
 
-TEST(Balancer, LeavesAResponseThatHasBegunToTheClient) {
+TEST(Balancer, SendsNoFinalAnswerAfterTheResponseHasStarted) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(2));
     const RequestId id = harness.start_request(0, 1000);
--- a/tests/policy/discovery_backoff_test.cpp
+++ b/tests/policy/discovery_backoff_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// How long the next call to discovery waits after a failed one.
+/// Tests of the wait before the next call to discovery after a failed one.
 #include <algorithm>
 #include <cstdint>
 #include <optional>
@@ -25,7 +25,7 @@
         return settings;
     }
 
-    // Its call fails; returns how long the next one then waits.
+    // Lets a call fail and returns the wait before the next call.
     Millis next_wait(std::optional<Millis> notified_within, ListFailure failure = ListFailure::rejected,
                      std::optional<Millis> retry_after = {}) {
         harness.timers.clear();
@@ -34,7 +34,7 @@
     }
 };
 
-TEST(DiscoveryBackoff, SpreadsTheNextCallsOfSidecars) {
+TEST(DiscoveryBackoff, SpreadsTheCallsOfDifferentSidecars) {
     const Settings settings = subscribing_settings(0);
     std::set<Millis> waits;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -50,19 +50,20 @@
         harness.deliver(TimerFired{token});
         EXPECT_EQ(harness.count_last_actions<Subscribe>(), 1);
         harness.deliver(TimerFired{token});
-        EXPECT_EQ(harness.count_last_actions<Subscribe>(), 0) << "a spent timer has no effect";
+        EXPECT_EQ(harness.count_last_actions<Subscribe>(), 0)
+            << "a timer that has already fired has no effect";
     }
     EXPECT_EQ(waits.size(), 5U);
 }
 
-// What a failed call has missed counts as notified within 6 s (rule 3). Until then the next call comes within
-// 1.5 s, which leaves time for one that hangs and for its turn; and no sooner than half of that, as quick
-// calls of a whole fleet keep an overloaded discovery overloaded.
+// Changes missed by a failed call count as notified after 6 s. Until then the next call must come within 1.5
+// s, which leaves time for a call that hangs and for discovery to handle the call. It must not come sooner
+// than half of that, because quick calls of a whole fleet keep an overloaded discovery overloaded.
 TEST(DiscoveryBackoff, CallsOftenEnoughWithinTheNotificationDelay) {
     FailingCaller caller(350);
-    // Rejected with no watch open yet.
+    // Discovery rejects the calls before the first subscription exists.
     for (int i = 0; i < 6; ++i) caller.harness.deliver_list(ListKind::failed, {});
-    EXPECT_GT(caller.next_wait({}), 2000) << "nothing is known to be missed";
+    EXPECT_GT(caller.next_wait({}), 2000) << "no missed change is known";
     const Millis notified_at = caller.harness.now + 6000;
     int calls = 0;
     while (caller.harness.now < notified_at) {
@@ -73,15 +74,16 @@
         ++calls;
     }
     EXPECT_GE(calls, 4);
-    EXPECT_LE(calls, 8) << "a fleet's calls are handled in turn";
-    // An answer without entries ends the failures before it.
+    EXPECT_LE(calls, 8) << "discovery handles the calls of the fleet one after another";
+    // A response without entries ends the series of failures.
     caller.harness.deliver_list(ListKind::incremental, {});
     EXPECT_LE(caller.next_wait({}), 1500);
 }
 
-// Past the delay a large fleet is not answered in time whatever it does: its calls thin out. A small one can
-// not overload anything, and the next change's delay begins anew once discovery can be reached.
-TEST(DiscoveryBackoff, BacksOffPastTheNotificationDelayUnlessTheFleetIsSmall) {
+// After the notification delay, discovery cannot answer all calls of a large fleet in time, so the fleet
+// calls less often. A small fleet cannot overload discovery, and the delay of the next change starts again
+// once discovery can be reached.
+TEST(DiscoveryBackoff, BacksOffAfterTheNotificationDelayUnlessTheFleetIsSmall) {
     FailingCaller large(350);
     FailingCaller small(3);
     const Millis start = large.harness.now;
@@ -103,20 +105,22 @@
     }
 }
 
-TEST(DiscoveryBackoff, CallsSoonAfterTheFirstFailureOfAWatch) {
+TEST(DiscoveryBackoff, CallsSoonAfterTheFirstFailureOfASubscription) {
     for (const ListFailure failure : {ListFailure::timed_out, ListFailure::broken}) {
         FailingCaller caller(350);
         EXPECT_LE(caller.next_wait(4000, failure), 300);
     }
     FailingCaller caller(350);
     caller.next_wait(4000, ListFailure::broken);
-    EXPECT_GE(caller.next_wait(3900, ListFailure::broken), 750) << "as one that is rejected";
+    EXPECT_GE(caller.next_wait(3900, ListFailure::broken), 750)
+        << "the second break waits as long as a rejection";
     for (int i = 0; i < 20; ++i)
-        EXPECT_LE(caller.next_wait(6000, ListFailure::unreachable), 500) << "that costs discovery nothing";
+        EXPECT_LE(caller.next_wait(6000, ListFailure::unreachable), 500)
+            << "an unreachable discovery is not loaded by calls";
 }
 
-// Nobody says by when a call has to be renewed.
-TEST(DiscoveryBackoff, WaitsEightSecondsAtMostWithoutAKnownBound) {
+// The settings do not limit the time within which a call must be repeated.
+TEST(DiscoveryBackoff, WaitsAtMostEightSecondsWithoutADeadline) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         PolicyHarness harness(subscribing_settings(0), seed);
         harness.deliver(Started{});
@@ -128,14 +132,14 @@
     }
 }
 
-TEST(DiscoveryBackoff, KeepsToRetryAfterWithinReason) {
+TEST(DiscoveryBackoff, ObservesRetryAfterUpToALimit) {
     FailingCaller caller(350);
     EXPECT_GE(caller.next_wait(4000, ListFailure::rejected, 3000), 3000);
     EXPECT_LE(caller.next_wait(4000, ListFailure::rejected, 3000), 4000);
     EXPECT_LE(caller.next_wait(4000, ListFailure::rejected, 3600000), 10000);
 }
 
-TEST(DiscoveryBackoff, RenewsASubscriptionWithinItsBound) {
+TEST(DiscoveryBackoff, RenewsASubscriptionWithinItsDeadline) {
     const Settings settings = subscribing_settings(2000);
     PolicyHarness harness(settings);
     harness.deliver(Started{});
--- a/tests/policy/endpoint_selector_test.cpp
+++ b/tests/policy/endpoint_selector_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which of the servers that may have a request gets it.
+/// Tests of the selection among the servers that may be sent a request.
 #include <algorithm>
 #include <cstdint>
 #include <map>
@@ -18,8 +18,8 @@
     return servers;
 }
 
-// Completes one request with an affinity key; returns the server that got it.
-ServerId affinity_server(PolicyHarness& harness, std::uint64_t key) {
+// Completes one request with an affinity key and returns the server that it was sent to.
+ServerId run_request_with_affinity(PolicyHarness& harness, std::uint64_t key) {
     const RequestId id = harness.next_id++;
     harness.requests[id] = {make_class(Idempotency::always), 0, harness.now + 1000};
     RequestArrived event;
@@ -53,7 +53,7 @@
     for (ServerId server = 1; server <= 5; ++server) EXPECT_GT(hits[server], 50) << server;
 }
 
-// A sidecar with little traffic mostly compares servers with nothing in flight.
+// A sidecar with little traffic mostly compares servers that have no attempts in flight.
 TEST(EndpointSelector, PrefersTheQuickerOfEquallyBusyServers) {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(2));
@@ -66,13 +66,14 @@
     EXPECT_EQ(slow, 0);
 }
 
-// What a sidecar learns of a kind of machine holds for servers of that kind that it has not met.
+// The latencies of a kind of machine must also be used for servers of that kind that the sidecar has not used
+// yet.
 TEST(EndpointSelector, PrefersUnknownServersOfAQuickKind) {
     int quick = 0;
     int slow = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         PolicyHarness harness(make_settings(), seed);
-        harness.deliver_list(ListKind::full, make_servers(6));  // odd ones are of kind 1
+        harness.deliver_list(ListKind::full, make_servers(6));  // servers with odd identifiers are of kind 1
         for (int i = 0; i < 60; ++i) {
             const RequestId id = harness.start_request();
             harness.end_attempt(id, Outcome::completed, harness.server_of(id) % 2 ? 300 : 30);
@@ -86,7 +87,7 @@
     EXPECT_GT(quick, 3 * slow);
 }
 
-TEST(EndpointSelector, PrefersItsOwnZoneWhereCrossingHasAPrice) {
+TEST(EndpointSelector, PrefersItsOwnZoneIfCrossingZonesHasACost) {
     for (const double fee : {0.0, 0.08}) {
         Settings settings = non_idempotent_settings();
         settings.costs.cross_zone = fee;
@@ -99,8 +100,9 @@
     }
 }
 
-// Class 1 has the higher weight and may only go to zone 0: class 0 keeps out while it is served elsewhere.
-TEST(EndpointSelector, LeavesServersOfAConfinedClassToIt) {
+// Class 1 has the higher weight and may be sent only to zone 0. Class 0 must avoid zone 0 unless all other
+// servers are much slower.
+TEST(EndpointSelector, ReservesServersForAConfinedClassOfHigherPriority) {
     for (const bool others_are_slow : {false, true}) {
         Settings settings = make_settings({make_class(Idempotency::always), make_class(Idempotency::always)});
         settings.classes[1].zones = {{0}};
@@ -115,7 +117,7 @@
             harness.end_attempt(id, Outcome::completed, others_are_slow && !there ? 180 : 20);
         }
         if (others_are_slow) {
-            EXPECT_GT(inside, 100) << "but not when the others are so much slower";
+            EXPECT_GT(inside, 100) << "much slower other servers justify using the reserved ones";
         } else {
             EXPECT_EQ(inside, 0);
         }
@@ -129,8 +131,8 @@
     other.deliver_list(ListKind::full, make_named_servers(32));
     std::map<std::uint64_t, ServerId> before;
     for (std::uint64_t key = 1; key <= 2000; ++key) {
-        before[key] = affinity_server(harness, key);
-        ASSERT_EQ(affinity_server(other, key), before[key]) << key;  // whatever its own random draws
+        before[key] = run_request_with_affinity(harness, key);
+        ASSERT_EQ(run_request_with_affinity(other, key), before[key]) << key;  // with another seed
     }
     std::vector<EndpointInfo> servers = make_named_servers(32);
     const ServerId gone = before[1];
@@ -138,7 +140,7 @@
     harness.deliver_list(ListKind::full, servers);
     int moved = 0;
     for (const auto& [key, server] : before) {
-        const ServerId now = affinity_server(harness, key);
+        const ServerId now = run_request_with_affinity(harness, key);
         moved += now != server;
         EXPECT_EQ(now != server, server == gone) << key;
     }
@@ -146,8 +148,8 @@
     EXPECT_GT(moved, 0);
 }
 
-// Spread over all servers, a sidecar with little traffic would learn nothing of any.
-TEST(EndpointSelector, UsesFewServersForLittleTrafficAndManyForMuch) {
+// Guards against spreading little traffic over all servers, which would give too few samples of each server.
+TEST(EndpointSelector, UsesASubsetThatGrowsWithTraffic) {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(30));
     std::set<ServerId> used;
@@ -157,8 +159,9 @@
     EXPECT_GT(used.size(), 20U);
 }
 
-// Where every server of the subset fails, no success rate shows that others do better.
-TEST(EndpointSelector, ReplacesServersOfItsSubsetThatFail) {
+// Guards against keeping a failing subset: if every server of the subset fails, no success rate shows that
+// servers outside it would succeed.
+TEST(EndpointSelector, ReplacesFailingServersOfItsSubset) {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(30));
     int failed = 0;
@@ -171,8 +174,9 @@
     EXPECT_LT(failed, 40);
 }
 
-// A server that has had an attempt for longer than the objective without any response is quiet.
-TEST(EndpointSelector, PassesOverAQuietServerUntilItResponds) {
+// A server is quiet if it has had an attempt in flight for longer than the latency objective without any
+// response.
+TEST(EndpointSelector, AvoidsAQuietServerUntilItResponds) {
     PolicyHarness harness = harness_in_fleet(100, 4);
     use_many_servers(harness, 8);
     const RequestId stuck = harness.start_request(0, 5000);
@@ -184,7 +188,7 @@
         return any;
     };
     EXPECT_TRUE(reaches(harness.start_requests(8)));
-    harness.advance(500);  // its class's latency objective is 400
+    harness.advance(500);  // the latency objective of the class is 400 ms
     EXPECT_FALSE(reaches(harness.start_requests(8)));
     harness.end_attempt(stuck, Outcome::completed, 0);
     EXPECT_TRUE(reaches(harness.start_requests(8)));
--- a/tests/policy/outcome_classes_test.cpp
+++ b/tests/policy/outcome_classes_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What an attempt's outcome tells.
+/// Tests of the classification of attempt outcomes.
 #include "outcome_classes.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
     {Outcome::cancelled, false, false, false, false},
 };
 
-TEST(OutcomeClasses, AreThoseOfEachOutcome) {
+TEST(OutcomeClasses, MatchTheExpectationForEachOutcome) {
     const Settings settings;
     for (const Expectation& expected : kExpectations) {
         SCOPED_TRACE(static_cast<int>(expected.outcome));
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which servers are ejected, avoided by a class, tried again and restored.
+/// Tests of outlier detection: which servers are ejected, avoided by a class, tried again and restored.
 #include <cstdint>
 #include <vector>
 
@@ -11,8 +11,8 @@
 
 using SlowServers = bool (*)(ServerId server);
 
-// `count` requests at once, so that each server gets its part: the slow servers' responses take `late`, the
-// others' come 5 ms after each other.
+// Starts `count` requests at once, so that each server gets its share. Slow servers complete their requests
+// after `late`; the others complete theirs one by one, 5 ms apart.
 void burst_with_slow_servers(PolicyHarness& harness, int count, SlowServers is_slow, Millis late) {
     const std::vector<RequestId> ids = harness.start_requests(count, 5000);
     for (const RequestId id : ids)
@@ -21,7 +21,7 @@
     harness.complete_in_flight(ids, late);
 }
 
-// Server 2 of three is ejected, and its ejection time is over.
+// Returns a harness with three servers, of which server 2 was ejected and its ejection time has passed.
 PolicyHarness harness_with_trial_due() {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(3));
@@ -30,15 +30,16 @@
     return harness;
 }
 
-TEST(OutlierDetector, EjectsAServerThatFailsAndOthersServe) {
+TEST(OutlierDetector, EjectsAFailingServerIfOthersSucceed) {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(4));
     drive_traffic(harness, 60, 2, Outcome::failed);
     EXPECT_EQ(count_sent_to(harness, 100, 2), 0);
 }
 
-// Two failures in a window of twenty are not below it, three are.
-TEST(OutlierDetector, EjectsAServerBelowTheThreshold) {
+// Of the twenty outcomes in a window, two failures keep the success rate at the threshold, and three lower it
+// below.
+TEST(OutlierDetector, EjectsAServerBelowTheSuccessThreshold) {
     for (const int failures : {2, 3}) {
         PolicyHarness harness(non_idempotent_settings());
         harness.deliver_list(ListKind::full, make_servers(2));
@@ -50,14 +51,14 @@
 TEST(OutlierDetector, ForgetsFailuresAfterTwentyOutcomes) {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(2));
-    // Two failures, then more than twenty successes, three times over.
+    // Three rounds of two failures followed by more than twenty successes.
     for (int round = 0; round < 3; ++round) {
         EXPECT_EQ(drive_traffic(harness, 60, 2, Outcome::failed, 2), 2);
         EXPECT_GT(count_reaching(harness, 150, 2), 20) << round;
     }
 }
 
-TEST(OutlierDetector, EjectsNobodyForInvalidRequests) {
+TEST(OutlierDetector, EjectsNoServerForInvalidRequests) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(6));
     drive_traffic(harness, 240, 0, Outcome::completed);
@@ -65,7 +66,7 @@
     EXPECT_EQ(harness.ejections, 0);
 }
 
-TEST(OutlierDetector, EjectsNobodyForCancelledOrUnsentAttempts) {
+TEST(OutlierDetector, EjectsNoServerForCancelledOrUnsentAttempts) {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(2));
     for (int i = 0; i < 60; ++i) {
@@ -77,7 +78,7 @@
     EXPECT_GT(count_sent_to(harness, 100, 2), 20);
 }
 
-// A completed response past the latency objective counts as a failure.
+// A response that completes after the latency objective counts as a failure.
 TEST(OutlierDetector, EjectsAServerWhoseResponsesAreLate) {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(6));
@@ -89,8 +90,9 @@
     EXPECT_GE(harness.ejections, 1);
 }
 
-// One class fails at one server; the other class is served there.
-TEST(OutlierDetector, KeepsOnlyTheFailedClassAwayFromAServer) {
+// Guards against ejecting a server for all classes when only one class fails there. Class 0 fails at server
+// 1, and class 1 is served there.
+TEST(OutlierDetector, AvoidsAServerOnlyForTheFailingClass) {
     PolicyHarness harness(make_settings({make_class(Idempotency::never), make_class(Idempotency::never)}));
     harness.deliver_list(ListKind::full, make_servers(3));
     int failed = 0;
@@ -103,7 +105,7 @@
         served_there += class_index == 1 && harness.server_of(id) == 1;
         harness.end_attempt(id, fails ? Outcome::failed : Outcome::completed, 60);
     }
-    EXPECT_EQ(failed, 1) << "7.2 s are less than the time for which a class avoids a server";
+    EXPECT_EQ(failed, 1) << "the 7.2 s of the test are less than the time for which a class avoids a server";
     EXPECT_GT(served_there, 10);
     EXPECT_EQ(harness.ejections, 0);
     harness.advance(11000);
@@ -112,10 +114,10 @@
         served_there = harness.server_of(id) == 1 ? 1000 : served_there;
         harness.end_attempt(id, Outcome::completed, 60);
     }
-    EXPECT_GE(served_there, 1000) << "tried again after that time";
+    EXPECT_GE(served_there, 1000) << "the class uses the server again after that time";
 }
 
-TEST(OutlierDetector, UsesTheOnlyServerThoughItFails) {
+TEST(OutlierDetector, UsesTheOnlyServerAlthoughItFails) {
     PolicyHarness harness(make_settings({make_class(Idempotency::never)}));
     harness.deliver_list(ListKind::full, make_servers(1));
     for (int i = 0; i < 5; ++i) {
@@ -125,7 +127,7 @@
     }
 }
 
-// A failed trial starts another ejection; a successful one restores the server with an empty window.
+// A failed trial starts another ejection. A successful trial restores the server with an empty window.
 TEST(OutlierDetector, RestoresAServerByOneSuccessfulTrial) {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(3));
@@ -134,16 +136,16 @@
     EXPECT_EQ(count_sent_to(harness, 20, 2), 0) << "still ejected";
     harness.now += 1500;
     const RequestId trial = harness.start_request();
-    ASSERT_EQ(harness.server_of(trial), 2U) << "one real request is the trial";
-    EXPECT_EQ(count_sent_to(harness, 20, 2), 0) << "and only one";
+    ASSERT_EQ(harness.server_of(trial), 2U) << "a client's request is used as the trial";
+    EXPECT_EQ(count_sent_to(harness, 20, 2), 0) << "only one request is sent as a trial";
     harness.end_attempt(trial, Outcome::failed);
     EXPECT_EQ(count_sent_to(harness, 20, 2), 0);
     harness.now += 10000;
     const RequestId again = harness.start_request();
     ASSERT_EQ(harness.server_of(again), 2U);
-    harness.end_attempt(again, Outcome::completed, 5);  // quick, so that it wins ties
+    harness.end_attempt(again, Outcome::completed, 5);  // quick, so that the server wins ties
     EXPECT_GT(count_sent_to(harness, 60, 2), 5);
-    drive_traffic(harness, 3, 2, Outcome::failed);  // the failures before don't count on
+    drive_traffic(harness, 3, 2, Outcome::failed);  // earlier failures must not count any more
     use_many_servers(harness, 6);
     EXPECT_GT(count_sent_to(harness, 60, 2), 0);
 }
@@ -157,7 +159,7 @@
     EXPECT_EQ(harness.server_of(harness.start_request()), 2U);
 }
 
-TEST(OutlierDetector, KeepsADrainThatBeginsDuringATrial) {
+TEST(OutlierDetector, SendsNothingToAServerThatStartsDrainingDuringItsTrial) {
     PolicyHarness harness = harness_with_trial_due();
     const RequestId trial = harness.start_request();
     ASSERT_EQ(harness.server_of(trial), 2U);
@@ -166,14 +168,14 @@
     EXPECT_EQ(count_sent_to(harness, 60, 2), 0);
 }
 
-TEST(OutlierDetector, EjectsHalfOfThePoolAtMost) {
+TEST(OutlierDetector, EjectsAtMostHalfOfThePool) {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(4));
     for (ServerId faulty = 1; faulty <= 3; ++faulty) drive_traffic(harness, 60, faulty, Outcome::failed);
     EXPECT_EQ(harness.ejections, 2);
 }
 
-TEST(OutlierDetector, EjectsHalfOfTheServersOfAClassAtMost) {
+TEST(OutlierDetector, EjectsAtMostHalfOfTheServersOfAClass) {
     Settings settings = non_idempotent_settings();
     settings.classes[0].zones = {{1}};
     PolicyHarness harness(settings);
@@ -182,7 +184,7 @@
     EXPECT_EQ(harness.ejections, 2);
 }
 
-TEST(OutlierDetector, EjectsNobodyByAResponseInTime) {
+TEST(OutlierDetector, EjectsNoServerOnAResponseInTime) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(4));
     for (int i = 0; i < 120; ++i) {
@@ -195,8 +197,8 @@
     EXPECT_EQ(harness.ejections, 0);
 }
 
-// A server that has gone silent is ejected although its window is not full.
-TEST(OutlierDetector, EjectsASilentServerByOneAttempt) {
+// Guards against waiting for a full window before a server that no longer responds is ejected.
+TEST(OutlierDetector, EjectsASilentServerAfterOneAttempt) {
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(6));
     use_many_servers(harness, 12);
@@ -214,11 +216,13 @@
     PolicyHarness harness(non_idempotent_settings());
     harness.deliver_list(ListKind::full, make_servers(8));
     for (int i = 0; i < 60; ++i) run_request(harness, Outcome::timed_out, 1000);
-    EXPECT_LE(harness.ejections, 3) << "the first seven, by two";
+    EXPECT_LE(harness.ejections, 3)
+        << "servers are ejected only until the success rate of the others has dropped";
 }
 
-// In a large fleet no sidecar fills a window by itself.
-TEST(OutlierDetector, EjectsForAllClassesByOneFailedConnectionWhereOthersRespond) {
+// In a large fleet no sidecar fills a window alone, so one failed connection must be enough if other servers
+// respond.
+TEST(OutlierDetector, EjectsForAllClassesAfterOneFailedConnectionIfOthersRespond) {
     for (const bool others_respond : {true, false}) {
         Settings settings = make_settings({make_class(Idempotency::always), make_class(Idempotency::always)});
         settings.fleet_size = 100;
@@ -236,8 +240,8 @@
     }
 }
 
-// A sidecar without a free connection tells nothing of the server.
-TEST(OutlierDetector, EjectsNobodyForAttemptsThatFoundNoFreeConnection) {
+// An attempt that is not sent, for lack of a free connection in the sidecar, says nothing about the server.
+TEST(OutlierDetector, EjectsNoServerForAttemptsWithoutAFreeConnection) {
     PolicyHarness harness = harness_in_fleet(100, 20);
     for (int i = 0; i < 40; ++i) {
         const RequestId other = harness.start_request();
@@ -249,7 +253,7 @@
     EXPECT_EQ(harness.ejections, 0);
 }
 
-TEST(OutlierDetector, EjectsASilentServerWhereOthersRespond) {
+TEST(OutlierDetector, EjectsASilentServerIfOthersRespond) {
     PolicyHarness harness = harness_in_fleet(100, 20);
     const RequestId first = harness.start_request(0, 400);
     for (int i = 0; i < 6; ++i) run_request(harness, Outcome::completed, 50);
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which classes of requests may go to which servers.
+/// Tests of placement constraints: which request classes may be sent to which servers.
 #include "placement.hpp"
 
 #include "support/policy_harness.hpp"
@@ -7,7 +7,7 @@
 namespace mothring::test {
 namespace {
 
-TEST(Placement, KeepsAConfinedClassInItsZoneAtEveryAttempt) {
+TEST(Placement, KeepsEveryAttemptOfAConfinedClassInItsZone) {
     Settings settings = make_settings({make_class(Idempotency::always), make_class(Idempotency::always)});
     settings.classes[1].zones = {{2}};
     PolicyHarness harness(settings);
@@ -24,12 +24,12 @@
                                                  {5, 2, 1, EndpointState::removed},
                                                  {8, 2, 0, EndpointState::draining}});
     const RequestId id = harness.start_request(1);
-    EXPECT_EQ(harness.attempts_of(id), 0U) << "nowhere to go";
+    EXPECT_EQ(harness.attempts_of(id), 0U) << "no server of the zone may be used";
     harness.expect_all_answered();
     EXPECT_TRUE(harness.was_rejected(id));
 }
 
-TEST(Placement, LetsAConfinedClassTryWarmingUpServersOfItsKind) {
+TEST(Placement, SendsAConfinedClassToServersOfItsKindThatAreWarmingUp) {
     Settings settings = make_settings({make_class(Idempotency::always)});
     settings.classes[0].kinds = {{1}};
     PolicyHarness harness(settings);
@@ -44,7 +44,7 @@
     EXPECT_GT(sent, 0);
 }
 
-TEST(Placement, SendsAnUnknownClassOnlyWhereEveryClassMayGo) {
+TEST(Placement, SendsAnUnknownClassOnlyToServersOpenToEveryClass) {
     Settings settings = make_settings({make_class(Idempotency::always), make_class(Idempotency::always)});
     settings.classes[0].zones = {{0, 1}};
     settings.classes[1].zones = {{1, 2}};
@@ -57,10 +57,10 @@
     }
 }
 
-TEST(Placement, AllowsWhatZonesAndKindsBothPermit) {
+TEST(Placement, AllowsServersThatZonesAndKindsBothPermit) {
     Settings settings = make_settings();
     const EndpointInfo server{1, 2, 0, EndpointState::active, 0, 3};
-    EXPECT_TRUE(placement_allows(settings, 0, server)) << "not confined";
+    EXPECT_TRUE(placement_allows(settings, 0, server)) << "the class is not confined";
     settings.classes[0].zones = {{1, 2}};
     EXPECT_TRUE(placement_allows(settings, 0, server));
     settings.classes[0].kinds = {{4}};
--- a/tests/policy/retry_budget_test.cpp
+++ b/tests/policy/retry_budget_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many retries are sent for the requests that arrive.
+/// Tests of the limit on retries.
 #include "retry_budget.hpp"
 
 #include <cstddef>
@@ -9,6 +9,7 @@
 namespace mothring::test {
 namespace {
 
+/// Withdraws retries until the budget is exhausted, and returns their number.
 int withdraw_all(RetryBudget& budget) {
     int retries = 0;
     while (!budget.is_exhausted()) {
@@ -18,7 +19,7 @@
     return retries;
 }
 
-TEST(RetryBudget, BoundsTheRetriesAtAFullPool) {
+TEST(RetryBudget, LimitsRetriesAtAnOverloadedPool) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(8));
     std::size_t attempts = 0;
@@ -30,7 +31,7 @@
     EXPECT_LT(attempts, 300 * 1.25 + 10);
 }
 
-TEST(RetryBudget, AllowsABurstThenARetryForFiveRequests) {
+TEST(RetryBudget, AllowsABurstAndThenOneRetryPerFiveRequests) {
     RetryBudget budget;
     EXPECT_EQ(withdraw_all(budget), 10);
     for (int i = 0; i < 4; ++i) budget.deposit();
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a server that is warming up is sent.
+/// Tests of slow start: how many attempts are sent to a server that is warming up.
 #include <cstdint>
 #include <optional>
 #include <vector>
@@ -10,8 +10,8 @@
 namespace mothring::test {
 namespace {
 
-// Of fifty sidecars that have done nothing yet, those whose first request goes to a server that is warming
-// up.
+// Returns how many of fifty sidecars without any traffic so far send their first request to a server that is
+// warming up.
 int count_sending(const Settings& settings, std::optional<MemberView> members = {}) {
     int hits = 0;
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
@@ -25,7 +25,7 @@
     return hits;
 }
 
-TEST(SlowStart, SendsNoMoreThanItsCapacityFromAllSidecarsTogether) {
+TEST(SlowStart, KeepsTheWholeFleetWithinTheCapacityOfAStartingServer) {
     std::vector<PolicyHarness> harnesses;
     for (std::uint64_t seed = 1; seed <= 6; ++seed) harnesses.emplace_back(make_settings(), seed);
     for (PolicyHarness& harness : harnesses) harness.deliver_list(ListKind::full, make_servers(8));
@@ -51,20 +51,21 @@
     for (int i = 0; i < 3; ++i) {
         const auto [hits, all] = run_second(1);
         const double even = all / 8.0;
-        EXPECT_LT(hits, even * 0.5) << "second " << i;  // its capacity is 0.2 to 0.32 here
+        EXPECT_LT(hits, even * 0.5) << "second " << i;  // its capacity is 0.2 to 0.32 of a warm server
     }
     for (int i = 0; i < 25; ++i) run_second(1);
-    EXPECT_GT(run_second(1).hits, 15) << "warm again";
+    EXPECT_GT(run_second(1).hits, 15) << "the server is warm again";
 }
 
-// In a storm of retries arrivals are many times what a server can do.
-TEST(SlowStart, SendsNoMoreInAStormOfRejectedRequests) {
+// Guards against deriving the rate from arrivals: in a retry storm they are many times what a server can
+// handle.
+TEST(SlowStart, SendsNoMoreDuringARetryStorm) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(4));
     for (int i = 0; i < 100; ++i) run_request(harness, Outcome::completed, 10);
     restart_first_server(harness, 4);
     int hits = 0;
-    for (int i = 0; i < 3000; ++i) {  // three seconds of a thousand a second
+    for (int i = 0; i < 3000; ++i) {  // 1000 requests per second for three seconds
         harness.now += 1;
         const RequestId id = harness.start_request();
         while (harness.is_in_flight(id)) {
@@ -75,15 +76,15 @@
     EXPECT_LT(hits, 30);
 }
 
-// One attempt from each of them would be more than a server that has just started can do.
-TEST(SlowStart, SendsAFewAttemptsFromAThousandIdleSidecars) {
+// One attempt from each sidecar would be more than a server that has just started can handle.
+TEST(SlowStart, SendsFewAttemptsFromAThousandIdleSidecars) {
     Settings settings = make_settings();
     settings.fleet_size = 1000;
     EXPECT_LE(count_sending(settings), 2);
 }
 
-TEST(SlowStart, CountsPresentMembersWithAQuorumElseTheSettingsNumber) {
-    const Settings settings = make_settings();  // of one sidecar
+TEST(SlowStart, UsesThePresentMembersWithAQuorumOtherwiseTheFleetSize) {
+    const Settings settings = make_settings();  // with a fleet size of one sidecar
     const MemberView many_with_quorum{1000, true};
     const MemberView many_without_quorum{1000, false};
     const MemberView one_with_quorum{1, true};
@@ -92,10 +93,12 @@
     EXPECT_EQ(count_sending(settings, many_without_quorum), count_sending(settings, one_with_quorum));
 }
 
-// The lag of servers that are warming up does not reduce what each of them is sent.
-TEST(SlowStart, MeasuresByWarmServersWhereMostAreWarmingUp) {
+// Guards against measuring the rate of a warm server by servers that are still warming up, whose lower rate
+// would reduce the attempts sent to each of them.
+TEST(SlowStart, MeasuresTheRateAtWarmServersIfMostAreWarmingUp) {
     Settings settings = make_settings();
-    settings.overload_multiple = 1;  // just its share: more would hide whose mean it is a share of
+    // A server gets only its plain share. A larger multiple would hide which mean the share is based on.
+    settings.overload_multiple = 1;
     PolicyHarness harness(settings);
     harness.deliver_list(ListKind::full, make_servers(2));
     for (int i = 0; i < 300; ++i) run_request(harness, Outcome::completed, 10);
@@ -106,12 +109,12 @@
     int sent_to_warming_up = 0;
     for (int i = 0; i < 1200; ++i) {
         const ServerId server = run_request(harness, Outcome::completed, 10);
-        sent_to_warming_up += i >= 900 && server > 2;  // at 9 to 12 s of 20
+        sent_to_warming_up += i >= 900 && server > 2;  // at 9 to 12 s of the 20 s of warm-up
     }
     EXPECT_GT(sent_to_warming_up, 200);
 }
 
-// A server that responds quickly while it is warming up gets more than its share, a late one gets no more.
+// A server that responds quickly during its warm-up gets more than its share. A late one gets only its share.
 TEST(SlowStart, SendsMoreToAQuickServerThanToALateOne) {
     int hits[2] = {};
     for (const bool late : {false, true}) {
@@ -125,7 +128,8 @@
             const RequestId id = harness.start_request(0, 3000);
             const bool is_warming_up = harness.server_of(id) == 1;
             hits[late] += is_warming_up;
-            // The warm ones take longer still, so that ties go to the one that is warming up.
+            // The warm servers take even longer, so that the server that is warming up is preferred among
+            // equally busy ones.
             if (!is_warming_up || late) harness.backdate_attempt(id, is_warming_up ? 340 : 380);
             harness.end_attempt(id, Outcome::completed, 10);
         }
@@ -133,14 +137,14 @@
     EXPECT_GT(hits[0], hits[1] * 3 / 2);
 }
 
-// Attempts at servers that are warming up take none of the capacity of the warm ones.
-TEST(SlowStart, SendsThoughTheWarmServersAreFull) {
+// Attempts at servers that are warming up must not count against the limit for warm servers.
+TEST(SlowStart, SendsToAStartingServerAlthoughTheWarmServersAreFull) {
     PolicyHarness harness = harness_in_fleet(4, 4);
     for (int i = 0; i < 300; ++i) run_request(harness, Outcome::completed, 10);
     for (int i = 0; i < 3; ++i) overload(harness);
     restart_first_server(harness, 4);
     bool reached = false;
-    for (int i = 0; i < 400; ++i) {  // nothing ends: the warm servers stay full
+    for (int i = 0; i < 400; ++i) {  // no attempt ends, so the warm servers stay full
         harness.advance(50);
         const RequestId id = harness.start_request(0, 60000);
         reached = reached || (harness.is_in_flight(id) && harness.server_of(id) == 1);
@@ -148,14 +152,15 @@
     EXPECT_TRUE(reached);
 }
 
-// A server is not ejected for being slow while it is warming up.
-TEST(SlowStart, CountsNoLateResponseAsAFailure) {
+// Guards against ejecting a server because it is slow while it is warming up.
+TEST(SlowStart, CountsNoLateResponseOfAStartingServerAsAFailure) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(8));
     for (int i = 0; i < 400; ++i) run_request(harness, Outcome::completed, 10);
     restart_first_server(harness, 8);
     int sent_to_warming_up = 0;
-    for (int round = 0; round < 400; ++round) {  // eight at once: attempts in flight decide, not latencies
+    // Eight requests at once, so that attempts in flight and not latencies decide the selection.
+    for (int round = 0; round < 400; ++round) {
         const std::vector<RequestId> ids = harness.start_requests(8, 3000);
         harness.now += 15;
         for (const RequestId id : ids) {
@@ -170,7 +175,7 @@
     EXPECT_EQ(harness.ejections, 0);
 }
 
-TEST(SlowStart, SendsALittleWhereAllServersAreWarmingUp) {
+TEST(SlowStart, SendsSomeRequestsIfAllServersAreWarmingUp) {
     PolicyHarness harness(make_settings());
     harness.deliver_list(ListKind::full, make_servers(3, harness.now));
     int sent = 0;
@@ -187,8 +192,8 @@
     harness.expect_all_answered();
 }
 
-// The sidecars' buckets don't all fill from nothing.
-TEST(SlowStart, SendsFromTheFirstSecondOfAManySidecarFleet) {
+// The initial fill of the sidecars' token buckets is random, so that some of them may send at once.
+TEST(SlowStart, SendsFromTheFirstSecondInALargeFleet) {
     int sent = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         Settings settings = make_settings();
@@ -203,14 +208,14 @@
             harness.complete_in_flight(ids, 50);
         }
     }
-    // In 0.2 s of the ten a second that a warm server has of each: a fifth of it, and up to 2.8 times as
-    // much.
+    // Each sidecar completes ten attempts per second at a warm server. In 0.2 s a starting server gets a
+    // fifth of that, and up to 2.8 times as much if it responds quickly.
     EXPECT_GT(sent, 100 * 2 * 0.2 / 3);
     EXPECT_LT(sent, 100 * 2 * 0.21 * 2.8 * 1.25);
 }
 
-// Not even a server that starts in the future is warming up then.
-TEST(SlowStart, IsOffWithoutAWindow) {
+// Without a slow start window, not even a server with a start time in the future counts as warming up.
+TEST(SlowStart, IsDisabledWithoutAWindow) {
     Settings settings = make_settings();
     settings.slow_start_window = 0;
     PolicyHarness harness(settings);
--- a/tests/policy/tenant_quotas_test.cpp
+++ b/tests/policy/tenant_quotas_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tenants' quotas in a crowd.
+/// Tests of tenants' quotas in overload.
 #include "tenant_quotas.hpp"
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 constexpr Millis kNow = 100000;
 
-// Of 1,000 requests, of which one in `interval` comes from tenant 0 and the rest from tenant 1: those of
-// tenant 0 that are beyond its quota.
+// Counts 1,000 requests, of which one in `interval` comes from tenant 0 and the rest from tenant 1. Returns
+// the number of tenant 0's requests that were over its quota.
 int count_over_quota(const Settings& settings, int interval) {
     TenantQuotas quotas(settings);
     Random random(1);
@@ -27,8 +27,8 @@
     return over_quota;
 }
 
-// Nine of ten requests come from one of two tenants with equal quotas, into a pool that responds late.
-TEST(TenantQuotas, KeepATenantBeyondItsQuotaFromStarvingOthers) {
+// Nine of ten requests come from one of two tenants with equal quotas, and the pool responds late.
+TEST(TenantQuotas, KeepATenantOverItsQuotaFromStarvingOthers) {
     Settings settings = make_settings();
     settings.tenant_quotas = {0.5, 0.5};
     settings.over_quota_weight = 0.1;
@@ -41,7 +41,7 @@
         for (int number = 0; number < 10; ++number) {
             const std::uint32_t tenant = number == 5;
             ids.push_back(harness.start_request(0, 2000, false, tenant));
-            if (i < 100) continue;  // until the limit is down and the shares are known
+            if (i < 100) continue;  // before the limit is lowered and the shares are known
             ++arrived[tenant];
             sent[tenant] += harness.is_in_flight(ids.back());
         }
@@ -52,8 +52,9 @@
     EXPECT_GT(sent[1] * arrived[0], 2 * sent[0] * arrived[1]);
 }
 
-// A sidecar sees a tenant far beyond its quota of the service where that tenant's applications run.
-TEST(TenantQuotas, ServeATenantBeyondItsQuotaWithoutACrowd) {
+// At a sidecar that runs alongside a tenant's applications, the tenant is far over its quota of the service.
+// Without overload this must not cause rejections.
+TEST(TenantQuotas, ServeATenantOverItsQuotaWithoutOverload) {
     const RequestClass cheap = make_class(Idempotency::always);
     RequestClass valuable = make_class(Idempotency::never);
     valuable.priority_weight = 3;
@@ -69,17 +70,18 @@
     EXPECT_EQ(count_over_quota(settings, 4), 0);
 }
 
-TEST(TenantQuotas, CountWhatATenantAsksBeyondItsQuota) {
+TEST(TenantQuotas, CountTheRequestsOfATenantOverItsQuota) {
     Settings settings;
     settings.tenant_quotas = {0.25, 0.75};
-    // Half of 1,000 requests where a quarter is agreed: about half of those.
+    // Tenant 0 sends half of 1,000 requests with a quota of a quarter, so about half of its requests are over
+    // the quota.
     const int over_quota = count_over_quota(settings, 2);
     EXPECT_GT(over_quota, 150);
     EXPECT_LT(over_quota, 350);
 }
 
-// An unknown tenant has no quota to be beyond, and costs no random number.
-TEST(TenantQuotas, TakeNoNoticeOfAnUnknownTenant) {
+// An unknown tenant has no quota to exceed, and must not draw a random number.
+TEST(TenantQuotas, IgnoreAnUnknownTenant) {
     Settings settings;
     settings.tenant_quotas = {0.5, 0.5};
     TenantQuotas quotas(settings);
--- a/tests/policy/zone_health_test.cpp
+++ b/tests/policy/zone_health_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Zones that are out of reach as a whole.
+/// Tests of the detection of unreachable zones.
 #include "zone_health.hpp"
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 
 EndpointInfo server_of_zone(ServerId id) { return {id, kZone, 0, EndpointState::active, 0, 0}; }
 
-// Sixty servers, twenty a zone, are all in use; then requests come one by one, and those that reach zone 1
-// find no connection. Returns how many attempts did.
-int lose_zone(PolicyHarness& harness) {
+// First uses all of sixty servers, twenty in each zone. Then sends requests one by one, and attempts at zone
+// 1 cannot connect. Returns the number of those attempts.
+int run_with_lost_zone(PolicyHarness& harness) {
     for (int i = 0; i < 60; ++i) harness.complete_in_flight(harness.start_requests(60, 5000), 150);
     int failed = 0;
     for (int i = 0; i < 100; ++i) {
@@ -34,13 +34,14 @@
 
 TEST(ZoneHealth, AvoidsAZoneBeforeEachOfItsServersHasFailed) {
     PolicyHarness harness = harness_in_fleet(100, 60);
-    EXPECT_EQ(lose_zone(harness), 3);
+    EXPECT_EQ(run_with_lost_zone(harness), 3);
 }
 
-// The list names the servers that have started. The zone's others may still be gone, whatever those respond.
-TEST(ZoneHealth, UsesOfALostZoneOnlyWhatHasStartedSince) {
+// The list shows which servers have restarted. The zone's other servers may still be unreachable, even if the
+// restarted ones respond.
+TEST(ZoneHealth, UsesOnlyRestartedServersOfAnUnreachableZone) {
     PolicyHarness harness = harness_in_fleet(100, 60);
-    lose_zone(harness);
+    run_with_lost_zone(harness);
     std::vector<EndpointInfo> servers = make_servers(60);
     const auto has_restarted = [](ServerId id) { return id % 3 == 1 && id < 30; };
     for (EndpointInfo& server : servers)
@@ -63,23 +64,24 @@
     EXPECT_EQ(sent_to_rest, 0);
 }
 
-TEST(ZoneHealth, TriesALostZoneAgainAfterTheEjectionTime) {
+TEST(ZoneHealth, TriesAnUnreachableZoneAgainAfterTheEjectionTime) {
     PolicyHarness harness = harness_in_fleet(100, 60);
-    lose_zone(harness);
+    run_with_lost_zone(harness);
     harness.now += 11000;
     const std::vector<RequestId> ids = harness.start_requests(80);
     EXPECT_TRUE(
         std::any_of(ids.begin(), ids.end(), [&](RequestId id) { return harness.server_of(id) % 3 == 1; }));
 }
 
-TEST(ZoneHealth, LosesAZoneByFailuresAtOneServerAfterAnother) {
+TEST(ZoneHealth, MarksAZoneUnreachableAfterFailuresAtAlternatingServers) {
     ZoneHealth health;
     EXPECT_FALSE(health.record_unreachable(server_of_zone(1), kNow));
-    EXPECT_FALSE(health.record_unreachable(server_of_zone(1), kNow)) << "the same server";
+    EXPECT_FALSE(health.record_unreachable(server_of_zone(1), kNow))
+        << "consecutive failures at the same server count once";
     EXPECT_FALSE(health.record_unreachable(server_of_zone(2), kNow));
     EXPECT_FALSE(health.any_unreachable(kNow));
     EXPECT_TRUE(health.record_unreachable(server_of_zone(1), kNow));
-    EXPECT_FALSE(health.record_unreachable(server_of_zone(2), kNow)) << "it is lost already";
+    EXPECT_FALSE(health.record_unreachable(server_of_zone(2), kNow)) << "the zone is already unreachable";
     EXPECT_TRUE(health.any_unreachable(kNow));
     EXPECT_TRUE(health.is_unreachable(server_of_zone(9), kNow));
     EXPECT_FALSE(health.is_unreachable({9, kZone + 1, 0, EndpointState::active, 0, 0}, kNow));
