--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,4 +1,5 @@
-// Addresses as text, ADDRESS:PORT.
+/// @file
+/// Conversion between socket endpoints and their text form ADDRESS:PORT.
 #pragma once
 
 #include <boost/asio/ip/address.hpp>
@@ -16,12 +17,13 @@
 using Tcp = boost::asio::ip::tcp;
 using Udp = boost::asio::ip::udp;
 
+/// Returns the endpoint as ADDRESS:PORT.
 template <class Endpoint>
 std::string format_endpoint(const Endpoint& endpoint) {
     return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-// nullopt: the text is no ADDRESS:PORT.
+/// Parses ADDRESS:PORT. Returns nullopt if the text has another form.
 template <class Endpoint>
 std::optional<Endpoint> parse_endpoint(const std::string& text) {
     const auto colon = text.rfind(':');
--- a/src/net/body_buffer.hpp
+++ b/src/net/body_buffer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A bounded buffer for the bytes of a body on their way from one connection to another.
+/// A bounded buffer for a message body that is forwarded from one connection to another.
 #pragma once
 
 #include <algorithm>
@@ -14,57 +14,58 @@
 
 namespace mothring::net {
 
-/// The memory that all buffers of a sidecar may hold together, in bytes. Beyond the limit each still gets
-/// BodyBuffer::kLeast, so that all requests make progress.
+/// The memory in bytes that all body buffers of a sidecar may hold together. Beyond the limit each buffer
+/// still gets BodyBuffer::kMinCapacity, so that all requests make progress.
 struct BufferBudget {
     std::size_t limit = 0;
     std::size_t used = 0;
 };
 
-/// Connects one writer with one reader. The writer pauses while there is no room, the reader while there is
-/// nothing to read; each resumes the other by a callback. What has been read stays for a retry as long as the
-/// buffer has room for the rest beside it.
+/// Connects one writer with one reader. The writer pauses while the buffer is full, and the reader while it
+/// has no unread bytes; each side resumes the other through a callback. Bytes that have been read are
+/// retained for a retry as long as the capacity also holds the rest of the body.
 class BodyBuffer {
 public:
-    /// The largest capacity, and so the longest body that is kept for a retry.
+    /// The largest capacity in bytes, and so the longest body that is retained for a retry.
     static constexpr std::size_t kMaxCapacity = 64 * 1024;
-    /// The capacity where the budget is used up.
+    /// The capacity in bytes of a buffer that is allocated after the budget has been used up.
     static constexpr std::size_t kMinCapacity = 4 * 1024;
 
-    /// @param length  of the complete body; absent: not known.
+    /// @param length  length of the complete body in bytes; absent if unknown.
     BodyBuffer(std::shared_ptr<BufferBudget> budget, std::optional<std::uint64_t> length)
         : length(length), budget_(std::move(budget)) {}
     ~BodyBuffer() { resize(0); }
     BodyBuffer(const BodyBuffer&) = delete;
     BodyBuffer& operator=(const BodyBuffer&) = delete;
 
-    /// Of the complete body; absent: not known.
+    /// The length of the complete body in bytes; absent if unknown.
     const std::optional<std::uint64_t> length;
 
     // ---- The writer's side ----
 
-    /// Called when there is room again.
+    /// Called when the buffer has free space again.
     std::function<void()> on_writable;
-    /// How many bytes can be written now; allocates the memory of an empty buffer.
+    /// Returns how many bytes can be written now. Allocates the memory of an empty buffer.
     std::size_t free_space() {
         if (size_ == 0) grow();
         return capacity_ - size_;
     }
+    /// Returns whether no byte can be written now.
     bool is_full() { return free_space() == 0; }
-    /// Where to write; room() bytes.
+    /// Returns the address for the next write, of up to free_space() bytes.
     char* write_pointer() { return bytes_.get() + size_; }
-    /// So many bytes have been written to space().
+    /// Appends `count` bytes that have been written to write_pointer().
     void commit(std::size_t count) {
         size_ += count;
         total_ += count;
         if (on_readable) on_readable();
     }
-    /// The body is complete.
+    /// Marks the body as complete.
     void mark_complete() {
         state_ = State::complete;
         if (on_readable) on_readable();
     }
-    /// The rest of the body won't come.
+    /// Marks the body as truncated: its writer has failed before the end.
     void mark_truncated() {
         state_ = State::broken;
         if (on_readable) on_readable();
@@ -72,11 +73,11 @@
 
     // ---- The reader's side ----
 
-    /// Called when there are bytes, the body is complete, or its rest won't come.
+    /// Called when bytes have been appended, or the body has been marked as complete or truncated.
     std::function<void()> on_readable;
-    /// What has not been taken yet; valid until take().
+    /// Returns the bytes that have not been consumed yet. They are valid until consume().
     std::string_view unread() const { return {bytes_.get() + read_, size_ - read_}; }
-    /// So many bytes of unread() have been read.
+    /// Consumes the first `count` bytes of unread().
     void consume(std::size_t count) {
         read_ += count;
         if (kept_ && (state_ == State::complete || size_ < capacity_)) return;
@@ -85,16 +86,16 @@
         size_ -= std::exchange(read_, 0);
         if (state_ == State::incomplete && on_writable) on_writable();
     }
-    /// Whether all of the body has been written to the buffer.
+    /// Returns whether all of the body has been written to the buffer.
     bool is_complete() const { return state_ == State::complete; }
-    /// Whether the rest of the body won't come.
+    /// Returns whether the writer has failed before the end of the body.
     bool is_truncated() const { return state_ == State::broken; }
-    /// How many bytes have been written so far.
+    /// Returns how many bytes have been written so far.
     std::uint64_t bytes_written() const { return total_; }
 
-    /// Whether all that has been written is still here, so that it can be read from the start again.
+    /// Returns whether all bytes written so far are still in the buffer, so that they can be read again.
     bool is_retained() const { return kept_; }
-    /// Starts reading again from the start.
+    /// Restarts reading at the first byte of the body.
     void rewind() { read_ = 0; }
 
 private:
--- a/src/net/http_message.hpp
+++ b/src/net/http_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The limits of HTTP messages, the same for clients and servers, and how messages are read and copied.
+/// Size limits of HTTP messages, the same for clients and servers, and functions that read and copy messages.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -9,7 +9,7 @@
 
 namespace mothring::net {
 
-/// HTTP/1.1, as Beast numbers versions.
+/// HTTP/1.1 in Beast's numbering of versions.
 constexpr unsigned kHttpVersion = 11;
 
 /// The longest body that is buffered completely, in bytes.
@@ -19,16 +19,17 @@
 /// The longest head of a message, in bytes.
 constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
 
-/// Whether reading ended on bytes that are no message within the limits, and not with the connection.
+/// Returns whether a read failed because the bytes received are not an HTTP message within the limits. The
+/// end of the connection is not such an error.
 inline bool is_malformed(boost::system::error_code error) {
     using Http = boost::beast::http::error;
     return error.category() == make_error_code(Http::end_of_stream).category() &&
            error != Http::end_of_stream && error != Http::partial_message;
 }
 
-/// Reads one message within the limits, and calls `handler(error)`. The length that a header states is
-/// checked before the body is read: Beast 1.74 accepts a longer body that comes along with its header, and
-/// reserves the memory for any length stated.
+/// Reads one message within the limits and calls `handler(error)`. Checks the stated content length before
+/// the body is read, because Beast 1.74 accepts a longer body that arrives together with its header, and
+/// reserves memory for any stated length.
 template <class Socket, class Buffer, class Parser, class Handler>
 void async_read_bounded(Socket& socket, Buffer& buffer, Parser& parser, std::size_t body_limit,
                         Handler handler) {
@@ -47,7 +48,7 @@
         });
 }
 
-/// Whether a header field belongs to a connection, and not to the message that came on it.
+/// Returns whether a header field applies to one connection only and must not be forwarded.
 inline bool is_hop_by_hop(boost::beast::http::field name) {
     using boost::beast::http::field;
     switch (name) {
@@ -69,7 +70,7 @@
     }
 }
 
-/// Copies the header fields that belong to the message itself.
+/// Copies the header fields that are forwarded end to end.
 template <class Target, class Source>
 void copy_end_to_end_fields(Target& target, const Source& source) {
     for (const auto& header : source) {
--- a/src/net/interrupted_calls.hpp
+++ b/src/net/interrupted_calls.hpp
@@ -1,12 +1,13 @@
-// System calls that a signal may interrupt.
+/// @file
+/// Retries of system calls that a signal may interrupt.
 #pragma once
 
 #include <cerrno>
 
 namespace mothring::net {
 
-/// Makes a system call that does not wait, `call()`, anew while signals interrupt it, `most_tries` times at
-/// most. Returns its last result; where that is negative, errno tells why, EINTR if it never got through.
+/// Makes the non-blocking system call `call()` up to `most_tries` times until no signal interrupts it.
+/// Returns the last result. If that is negative, errno holds the error: EINTR if every call was interrupted.
 template <class Call>
 int retry_on_eintr(int most_tries, Call call) {
     int result = -1;
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -21,8 +21,8 @@
 
 namespace {
 
-// Standard error, without ever waiting for whoever reads it. The descriptor's own flags stay as they are:
-// other processes may share them.
+/// Writes to standard error without blocking, even if its reader has stopped. The flags of descriptor 2 stay
+/// unchanged, because other processes may share its open file description.
 class ErrorOutput {
 public:
     ErrorOutput() {
@@ -39,7 +39,8 @@
     ErrorOutput(const ErrorOutput&) = delete;
     ErrorOutput& operator=(const ErrorOutput&) = delete;
 
-    // How much of it was written: less than all where there is no room for it now, or a fault.
+    /// Returns how many bytes were written. That is less than the size of `bytes` if the output would block
+    /// or fails.
     std::size_t write(std::string_view bytes) {
         std::size_t written = 0;
         while (written < bytes.size()) {
@@ -52,10 +53,10 @@
 
 private:
     enum class Way {
-        file,    // nobody reads while it is written
-        own,     // by an open file description of our own, which does not block
-        socket,  // by calls that do not block
-        polled,  // a pipe or terminal that can't be opened again
+        file,    // a file, whose writes don't wait for a reader
+        own,     // a non-blocking open file description of this process
+        socket,  // non-blocking send calls
+        polled,  // a pipe or terminal that could not be reopened; polled before each write
     };
 
     ssize_t write_some(std::string_view bytes) const {
@@ -71,8 +72,8 @@
     int own_ = -1;
 };
 
-// Lines are written whole and in order, or dropped and counted. One that was cut off, by a pipe or disk that
-// got full under it, is finished before the next.
+/// Writes complete lines in order, and drops and counts those that don't fit. If a pipe or disk becomes full
+/// in the middle of a line, the rest of the line is written before the next one.
 class Sink final : public spdlog::sinks::base_sink<std::mutex> {
 public:
     std::uint64_t dropped() const { return dropped_; }
@@ -106,7 +107,7 @@
     std::shared_ptr<spdlog::logger> logger = std::make_shared<spdlog::logger>("mothring", sink);
     std::string sidecar;
     Log() {
-        // The time and level by spdlog; the rest of the object is the message, written by nlohmann.
+        // spdlog writes the time and level; the message holds the other fields, serialized by nlohmann.
         logger->set_formatter(std::make_unique<spdlog::pattern_formatter>(
             R"({"ts":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})", spdlog::pattern_time_type::utc));
         logger->set_level(spdlog::level::info);
@@ -130,13 +131,13 @@
     log.logger->log(level, std::string_view(text).substr(1, text.size() - 2));
 }
 
-// As soon as there is room for a line again.
-void tell_dropped(Log& log, LogLevel level) {
+/// Logs the number of dropped lines, if any, as soon as a line can be written again.
+void report_dropped(Log& log, LogLevel level) {
     const std::uint64_t dropped = log.sink->dropped();
     if (dropped == 0) return;
     write(log, level, "log.dropped", {{"lines", dropped}});
-    const bool told = log.sink->dropped() == dropped;
-    log.sink->set_dropped(told ? 0 : dropped);
+    const bool is_reported = log.sink->dropped() == dropped;
+    log.sink->set_dropped(is_reported ? 0 : dropped);
 }
 
 }  // namespace
@@ -153,9 +154,9 @@
     if (!is_logged(level)) return;
     Log& log = the_log();
     try {
-        tell_dropped(log, level);
+        report_dropped(log, level);
         write(log, level, event, std::move(fields));
-    } catch (...) {  // the line is lost, not the work that wanted it
+    } catch (...) {  // the line is lost; the caller's work continues
     }
 }
 
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -1,10 +1,11 @@
-// The sidecar's log, through spdlog: one JSON object a line on standard error,
-//   {"ts":"2026-12-01T21:00:00.123Z","level":"info","event":"part.what","sidecar":"NAME", ...fields}
-// `ts` is UTC with milliseconds; `level` is spdlog's name (trace, debug, info, warning, error, critical);
-// `event` is named `part.what` (see the layers' conventions); the fields are the event's own.
-// A reader that has stopped (a full pipe) or a disk that is full does not hold up the caller: lines that find
-// no room are dropped, and the first that finds some again is preceded by `log.dropped` with their number in
-// `lines`.
+/// @file
+/// The sidecar's log, written with spdlog: one JSON object a line on standard error,
+///   {"ts":"2026-12-01T21:00:00.123Z","level":"info","event":"part.what","sidecar":"NAME", ...fields}
+/// `ts` is UTC with milliseconds; `level` is spdlog's name (trace, debug, info, warning, error, critical);
+/// `event` has the form `part.what`; the other fields depend on the event.
+/// Logging never blocks the caller, even if the pipe is full because its reader has stopped, or the disk is
+/// full. Lines that can't be written then are dropped. Before the next line that can be written comes a
+/// `log.dropped` event with the number of dropped lines in `lines`.
 #pragma once
 
 #include <spdlog/common.h>
@@ -20,21 +21,23 @@
 using LogFields = nlohmann::json;
 using LogLevel = spdlog::level::level_enum;
 
-// Sets the name every line carries and the least level written. Safe to call again (a reload); before
-// the first call lines carry no name and the level is info.
+/// Sets the sidecar's name that each line contains and the lowest level that is written. May be called again
+/// when the configuration is reloaded. Before the first call the name is empty and the level is info.
 void configure_log(std::string sidecar, LogLevel level);
 
-// Writes one line if `level` is at or above the level set. `fields` must be a JSON object (anything
-// else goes under "value"). Never throws: a line that can't be written is lost, not the caller's work.
+/// Writes one line if `level` is at or above the configured level. `fields` should be a JSON object; any
+/// other value is written as the field "value". Never throws, so that a failure to log does not abort the
+/// caller's work; the line is lost then.
 void log(LogLevel level, std::string_view event, LogFields fields = LogFields::object());
 
-// Whether lines of that level are written: asked first where the fields alone cost something.
+/// Returns whether lines of that level are written. Callers check it before they build expensive fields.
 bool is_logged(LogLevel level);
 
-// A log for a hot path: at most one line each `every`; the lines passed over in between are counted in
-// the next line's field "skipped". Single-threaded, as the sidecar's one io_context is.
+/// A log for hot paths that writes at most one line per interval. The next line that is written states the
+/// number of suppressed lines in its field "skipped". Not thread-safe, as the sidecar has one io_context.
 class RateLimitedLog {
 public:
+    /// @param every  the minimum interval between two lines.
     explicit RateLimitedLog(std::chrono::milliseconds every) : every_(every) {}
     void log(LogLevel level, std::string_view event, LogFields fields = LogFields::object());
 
@@ -45,7 +48,8 @@
     std::uint64_t skipped_ = 0;
 };
 
-// "trace", "debug", "info", "warn" or "warning", "error", "critical", "off"; nullopt for any other.
+/// Parses "trace", "debug", "info", "warn" or "warning", "error", "critical" or "off". Returns nullopt for
+/// any other name.
 std::optional<LogLevel> parse_log_level(std::string_view name);
 
 }  // namespace mothring::net
--- a/src/net/message_writer.hpp
+++ b/src/net/message_writer.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Writes HTTP messages in non-blocking steps. It is known at any time whether the last byte has been handed
-/// to the kernel, and no handler is lost where memory is short. The composed writes of Asio and Beast report
-/// the first only in their handler, a turn of the event loop later, and drop that handler where an allocation
-/// within them fails.
+/// Writes HTTP messages in non-blocking steps, so that the caller knows at any time whether the last byte has
+/// been handed to the kernel, and no handler is lost when memory is short. The composed writes of Asio and
+/// Beast report completion only in their handler, one turn of the event loop later, and drop that handler if
+/// an allocation within them fails.
 #pragma once
 
 #include <boost/beast/core/buffers_cat.hpp>
@@ -15,11 +15,11 @@
 
 namespace mothring::net {
 
-/// One non-blocking write of as much as the kernel takes. Returns whether everything has been written; where
-/// the socket takes no more for now the error is `would_block`, and the next call goes on from there.
+/// Performs one non-blocking write and returns whether everything has been written. If the socket accepts no
+/// more bytes for now, the error is `would_block`, and the next call continues at the first unwritten byte.
 using WriteStep = std::function<bool(Tcp::socket&, boost::system::error_code&)>;
 
-/// A step that writes a sequence of buffers, whose memory has to stay valid until all is written.
+/// Returns a step that writes a sequence of buffers, whose memory must stay valid until all of it is written.
 template <class Buffers>
 WriteStep make_write_step(const Buffers& buffers) {
     return [rest = boost::beast::buffers_suffix<Buffers>(buffers)](
@@ -29,13 +29,13 @@
     };
 }
 
-/// Which part of a message is written.
+/// The part of a message to write.
 enum class MessagePart {
-    header_and_body,  ///< Header and body.
+    header_and_body,  ///< The header and the body.
     header            ///< The header only.
 };
 
-/// A step that writes that part of a message, which has to stay valid until all is written.
+/// Returns a step that writes that part of a message, which must stay valid until all of it is written.
 template <bool IsRequest, class Body, class Fields>
 WriteStep make_write_step(boost::beast::http::message<IsRequest, Body, Fields>& message, MessagePart part) {
     namespace http = boost::beast::http;
@@ -47,8 +47,8 @@
     };
 }
 
-/// Writes as much as the kernel takes.
-/// @param failed  set where a call fails, with `would_block` among others.
+/// Writes until everything is written or a call fails, for example because it would block.
+/// @param failed  the error of the failed call, `would_block` included.
 /// @return whether everything has been written.
 inline bool write_until_blocked(const WriteStep& step, Tcp::socket& socket,
                                 boost::system::error_code& failed) {
--- a/src/net/parse_number.hpp
+++ b/src/net/parse_number.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Numbers from text.
+/// Parsing of numbers.
 #pragma once
 
 #include <charconv>
@@ -8,9 +8,9 @@
 
 namespace mothring::net {
 
-/// Reads the whole text as a number.
-/// @param base  of a whole number, 10 where it is not given.
-/// @return false where the text is not a number of that type; `value` is undefined then.
+/// Parses the complete text as a number.
+/// @param base  base of an integer, 10 if absent.
+/// @return false if the text is not a number of that type; `value` is undefined then.
 template <class Number, class... Base>
 bool parse_number(std::string_view text, Number& value, Base... base) {
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base...);
--- a/src/net/retry_pacer.hpp
+++ b/src/net/retry_pacer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Pauses between calls on a socket that fail again and again.
+/// Pauses between repeated socket calls that fail.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,19 +13,19 @@
 
 namespace mothring::net {
 
-/// Decides when a failed accept or receive is retried, and keeps the timer of the pause.
+/// Decides when a failed accept or receive is retried, and owns the timer of the pause.
 class RetryPacer {
 public:
-    /// @param pause  how long a pause takes.
+    /// @param pause  length of a pause.
     RetryPacer(boost::asio::io_context& io, Millis pause) : timer_(io), pause_(pause) {}
 
-    /// A call has succeeded.
+    /// Records that a call has succeeded.
     void on_success() { pace_.on_success(); }
 
-    /// @return whether to pause after this failure; else the next call is due at once.
+    /// @return whether to pause after this failure; otherwise the call may be retried immediately.
     bool must_pause_after(boost::system::error_code failed) { return pace_.must_pause_after(failed); }
 
-    /// Calls `resume` after the pause, unless another one begins, or this object ends, before.
+    /// Calls `resume` after the pause, unless another pause begins or this object is destroyed first.
     template <class Resume>
     void pause(Resume resume) {
         timer_.expires_after(to_duration(pause_));
@@ -34,7 +34,7 @@
         });
     }
 
-    /// Ends the pause without resuming.
+    /// Cancels the pause; its `resume` is not called.
     void cancel() { timer_.cancel(); }
 
 private:
--- a/src/net/socket_errors.hpp
+++ b/src/net/socket_errors.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the error of a socket call is about: this machine, one connection, or nothing at all.
+/// Classification of socket errors: local to this machine, specific to one connection, or transient.
 #pragma once
 
 #include <poll.h>
@@ -12,23 +12,24 @@
 
 namespace mothring::net {
 
-/// Whether a signal interrupted the call, which has done nothing and tells nothing of the socket.
+/// Returns whether a signal interrupted the call. The call has had no effect then, and the error says nothing
+/// about the socket.
 inline bool is_interrupted(boost::system::error_code error) {
     return error == boost::asio::error::interrupted;
 }
 
-/// Whether nothing is wrong: the call would have had to wait, or a signal interrupted it. Wait, and call
-/// again.
+/// Returns whether the call would have blocked or a signal interrupted it. The caller waits for readiness and
+/// retries.
 inline bool is_transient(boost::system::error_code error) {
     return error == boost::asio::error::would_block || error == boost::asio::error::try_again ||
            is_interrupted(error);
 }
 
-/// How often a call that signals interrupt is made at most.
+/// Maximum number of calls in a row while signals interrupt them.
 inline constexpr int kMaxInterruptedCalls = 16;
 
-/// Makes a call on a non-blocking socket, `call(error)`, again while signals interrupt it.
-/// @return its error; `interrupted` only after kInterruptedTries calls.
+/// Makes the call `call(error)` on a non-blocking socket and retries it while signals interrupt it.
+/// @return the error of the last call; `interrupted` only after kMaxInterruptedCalls calls.
 template <class Call>
 boost::system::error_code retry_while_interrupted(Call call) {
     boost::system::error_code error;
@@ -39,7 +40,7 @@
     return error;
 }
 
-/// Whether this machine lacks the descriptor or the memory for the call.
+/// Returns whether the call failed because this machine is out of file descriptors or memory.
 inline bool is_resource_shortage(boost::system::error_code error) {
     if (error.category() != boost::system::system_category()) return false;
     switch (error.value()) {
@@ -53,8 +54,8 @@
     }
 }
 
-/// Whether connecting has failed at this machine, for want of a port, a route, a descriptor or memory, or by
-/// a rule of its own. Such an error tells nothing of the other side.
+/// Returns whether a connect failed on this machine: no port, route, descriptor or memory was available, or a
+/// local rule forbade it. Such an error says nothing about the server.
 inline bool is_local_failure(boost::system::error_code error) {
     if (is_resource_shortage(error) || is_transient(error)) return true;
     if (error.category() != boost::system::system_category()) return false;
@@ -71,14 +72,14 @@
     }
 }
 
-/// Decides whether a call that has failed is retried at once or after a pause. Most failures are about one
-/// connection or datagram, and those behind it must not wait. A shortage lasts for a while, and so may any
-/// failure that comes many times in a row. RetryPacer has the timer as well.
+/// Decides whether a failed call is retried immediately or after a pause. Most failures concern one
+/// connection or datagram, and the ones queued behind it must not wait. A shortage of resources lasts for a
+/// while, and so may any failure that occurs many times in a row. RetryPacer adds the timer of the pause.
 class FailurePace {
 public:
-    /// A call has succeeded.
+    /// Records that a call has succeeded.
     void on_success() { in_a_row_ = 0; }
-    /// @return whether to pause after this failure; else the next call is due at once.
+    /// @return whether to pause after this failure; otherwise the call may be retried immediately.
     bool must_pause_after(boost::system::error_code failed) {
         if (!is_resource_shortage(failed) && ++in_a_row_ < kFailuresBeforePause) return false;
         in_a_row_ = 0;
@@ -86,14 +87,14 @@
     }
 
 private:
-    /// Failures in a row after which there is a pause.
+    /// Number of consecutive failures that leads to a pause.
     static constexpr int kFailuresBeforePause = 16;
 
     int in_a_row_ = 0;
 };
 
-/// Polls a descriptor without waiting.
-/// @return those of the events that hold now; POLLHUP and POLLERR are always included.
+/// Polls a descriptor without blocking.
+/// @return the requested events that are pending now, with POLLHUP and POLLERR always included.
 inline short poll_events(int descriptor, short events) {
     pollfd entry{descriptor, events, 0};
     const int answered = retry_on_eintr(kMaxInterruptedCalls, [&] { return ::poll(&entry, 1, 0); });
