--- a/tests/held_server.hpp
+++ b/tests/held_server.hpp
@@ -1,4 +1,5 @@
-// A server whose connections come up late, at a moment that the test chooses.
+/// @file
+/// A server whose connections are established late, at a time that the test chooses.
 #pragma once
 
 #include <algorithm>
@@ -11,26 +12,26 @@
 
 namespace mothring::node::test {
 
-// A server whose connections do not come up until it lets go: its queue is full, so that the kernel drops
-// what asks for one, which then asks again.
+/// A server whose connections are not established before release(). Its accept queue is full, so the kernel
+/// drops connection requests, and the clients' kernel sends them again.
 class HeldServer {
 public:
     explicit HeldServer(asio::io_context& io) : acceptor_(io, net::Tcp::v4()) {
         acceptor_.bind(any_port);
         acceptor_.listen(0);
         acceptor_.non_blocking(true);
-        for (int i = 0; i < 4; ++i) {  // one more than it holds, and those that wait for room in vain
+        for (int i = 0; i < 4; ++i) {  // one more than the queue holds, and some that stay pending
             filling_.emplace_back(io, net::Tcp::v4());
             filling_.back().async_connect(acceptor_.local_endpoint(), [](error_code) {});
         }
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
-    // Its queue is emptied, and whoever comes from now on is taken and read from.
+    /// Empties the accept queue; from now on the server accepts connections and answers the requests on them.
     void release() {
         for (net::Tcp::socket& s : filling_) ports_.push_back(port_of(s));
         accept();
     }
-    // What came on connections that are not its own.
+    /// The bytes received on connections other than those that filled the queue.
     std::string received;
     std::size_t accepted = 0, ended = 0;
 
--- a/tests/lab_rig.hpp
+++ b/tests/lab_rig.hpp
@@ -1,5 +1,6 @@
-// What the tests over several processes share: a lab with a fleet of real sidecars in a folder of its own.
-// They wait for events; limits of time only end a test that hangs. The lab kills and reaps its children.
+/// @file
+/// A lab with a fleet of sidecar processes in a separate folder, for tests over several processes. The tests
+/// wait for events; time limits only end a test that hangs. The lab kills and reaps its child processes.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -32,12 +33,13 @@
         lab->start();
         return *lab;
     }
-    // Waits for the end of a request while the lab goes on.
+    /// Runs the lab until the request has ended, and returns its result.
     Clients::Result wait_for_result(std::future<Clients::Result>& asked) {
         EXPECT_TRUE(lab->until(
             [&] { return asked.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }, 20000));
         return asked.get();
     }
+    /// Sends a request to a sidecar and waits for its result.
     Clients::Result send_and_wait(std::size_t sidecar, std::size_t class_index = 0,
                                   const std::string& key = "") {
         auto asked = lab->clients().ask(lab->scenario().sidecar_name(sidecar), class_index, key);
--- a/tests/log_output_test.cpp
+++ b/tests/log_output_test.cpp
@@ -1,4 +1,4 @@
-// The log's output where standard error can't be opened anew.
+// Tests the output of the log if standard error can't be reopened.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -18,8 +18,8 @@
 using mothring::test::SystemCallFaults;
 
 #ifndef __SANITIZE_ADDRESS__
-/// Logs one line into a pipe that the log has to ask for room, as there is no descriptor to open it anew,
-/// while a signal interrupts the asking. Whether the line came through. Replaces standard error.
+/// Logs one line into a pipe that the log has to poll, as there is no descriptor to reopen it, while a signal
+/// interrupts the poll. Replaces standard error. Returns whether the line was written.
 bool logs_through_interrupted_poll() {
     std::array<int, 2> ends{};
     if (::pipe2(ends.data(), O_NONBLOCK) != 0 || ::dup2(ends[1], STDERR_FILENO) < 0) return false;
@@ -35,10 +35,10 @@
     return faults.failure_count(SystemCall::poll) == 1 && text.find("test.line") != std::string_view::npos;
 }
 
-// In a process of its own, where nothing has been logged before. Not in a sanitized build: without
-// descriptors the check of virtual tables takes sound objects for faults (see Starting in
+// Runs in a separate process in which nothing has been logged before. Excluded from sanitized builds: without
+// descriptors their check of virtual tables reports valid objects as faults (see Starting in
 // system_call_test.cpp).
-TEST(LogOutput, InterruptedLookForRoom_losesNoLine) {
+TEST(LogOutput, InterruptedPollLosesNoLine) {
     GTEST_FLAG_SET(death_test_style, "threadsafe");
     EXPECT_EXIT(::_exit(logs_through_interrupted_poll() ? 0 : 1), testing::ExitedWithCode(0), "");
 }
--- a/tests/net_rig.hpp
+++ b/tests/net_rig.hpp
@@ -1,5 +1,6 @@
-// What the tests of the sidecar's sockets share: scripted peers on loopback, in one io_context with what is
-// tested. They wait for events; the time limit only ends a test that hangs.
+/// @file
+/// Scripted peers on loopback for the tests of the sidecar's sockets, in the same io_context as the code
+/// under test. The tests wait for events; the time limit only ends a test that hangs.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,23 +24,24 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
+/// Runs the io_context until the condition holds. Fails the test after 10 s.
 inline void run_until(asio::io_context& io, const std::function<bool()>& reached) {
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
     io.restart();
     while (!reached()) {
-        if (std::chrono::steady_clock::now() > limit) FAIL() << "waited in vain";
+        if (std::chrono::steady_clock::now() > limit) FAIL() << "the condition did not hold within 10 s";
         io.run_one_for(std::chrono::milliseconds(50));
         io.restart();
     }
 }
 
-// Until a connection that fell idle before may be used again.
+/// Waits until connections that have just become idle may be reused.
 inline void wait_for_connection_reuse(asio::io_context& io) {
     const auto rested = std::chrono::steady_clock::now() + std::chrono::milliseconds(11);
     run_until(io, [&] { return std::chrono::steady_clock::now() > rested; });
 }
 
-// While it lives, this process may open no further descriptor.
+/// Prevents this process from opening further descriptors during the lifetime of the object.
 class DescriptorExhaustion {
 public:
     DescriptorExhaustion() {
@@ -56,7 +58,7 @@
     rlimit before_{};
 };
 
-// The text with its first such part changed.
+/// Returns the text with the first occurrence of `what` replaced.
 inline std::string replace_first(std::string text, const std::string& what, const std::string& by) {
     const auto at = text.find(what);
     EXPECT_NE(at, std::string::npos) << what;
@@ -65,7 +67,8 @@
 
 inline const net::Tcp::endpoint any_port(asio::ip::address_v4::loopback(), 0);
 
-// What a scripted server does about a request: bytes to send, then perhaps the end of the connection.
+/// The reaction of a scripted server to a request: bytes to send, after which it may close or reset the
+/// connection.
 struct Reply {
     std::string bytes{};
     bool close = false;
@@ -77,6 +80,7 @@
            "\r\n\r\n" + body;
 }
 
+/// A server that records each request and answers it with the reply of a script.
 class ScriptedServer {
 public:
     using Request = http::request<http::string_body>;
@@ -87,7 +91,7 @@
         boost::beast::flat_buffer buffer;
         std::optional<http::request_parser<http::string_body>> parser;
         std::size_t requests = 0;
-        bool ended = false;  // by the other side
+        bool ended = false;  // by the peer
     };
 
     ScriptedServer(asio::io_context& io, Script script, const net::Tcp::endpoint& at = any_port)
@@ -98,12 +102,13 @@
 
     net::Tcp::endpoint endpoint() const { return address_; }
     std::string address() const { return "127.0.0.1:" + std::to_string(address_.port()); }
-    // Stops listening and ends all connections.
+    /// Stops listening and closes all connections.
     void close() {
         error_code ignored;
         acceptor_.close(ignored);
         for (auto& c : connections) c->socket.close(ignored);
     }
+    /// Returns how many connections the peers have ended.
     std::size_t ended_count() const {
         std::size_t count = 0;
         for (const auto& c : connections) count += c->ended;
@@ -152,7 +157,7 @@
     net::Tcp::endpoint address_ = acceptor_.local_endpoint();
 };
 
-// The application: one connection, what came back on it, and whether it was ended.
+/// A client with one connection. Records the responses and whether the connection has ended.
 class TestClient {
 public:
     using Answer = http::response<http::string_body>;
@@ -160,7 +165,7 @@
         socket_.connect(address);
         read();
     }
-    ~TestClient() { state_->live = false; }  // what is queued for it by then comes to nothing
+    ~TestClient() { state_->live = false; }  // handlers that are still queued do nothing
     void send(const std::string& bytes) { asio::write(socket_, asio::buffer(bytes)); }
     void close() { socket_.close(); }
     void reset() {
@@ -205,6 +210,7 @@
            (name == "listen" ? "" : "\r\nContent-Length: " + std::to_string(body.size())) + "\r\n\r\n" + body;
 }
 
+/// An entry of the endpoint list.
 struct ListedServer {
     std::string id, address;
     std::string state = "Ready";
@@ -235,7 +241,7 @@
         "rules":{"cold-from":0.16,"warm-within-ms":20000.0},"membership-mode":"pushed","siblings":3,"tenants":[]}})";
 }
 
-// A sidecar between a client, two servers and an agent that holds its watches.
+/// A sidecar between clients, two servers and a discovery agent that leaves the sidecar's watches unanswered.
 struct NetRig : testing::Test {
     asio::io_context io;
     ScriptedServer::Script serve = [](const auto&) { return Reply{response("200 OK", "served")}; };
@@ -262,17 +268,20 @@
     void start_with_a() { start({{"s-a", a.address()}}); }
     TestClient& client() { return clients.emplace_back(io, sidecar->address()); }
     void until(const std::function<bool()>& reached) { run_until(io, reached); }
-    // Sends one request and waits for its answer.
+    /// Sends a request on a new connection and waits for the response.
     TestClient::Answer send_and_wait(const std::string& bytes) {
         TestClient& c = client();
         c.send(bytes);
         until([&] { return !c.answers.empty() || c.ended; });
         return c.answers.empty() ? TestClient::Answer{} : c.answers.front();
     }
+    /// Returns how many requests both servers have received.
     std::size_t server_request_count() const { return a.requests.size() + b.requests.size(); }
+    /// Answers the latest discovery call with an endpoint list.
     void send_list(const std::string& list) {
         agent.send(agent.connections.size() - 1, response("200 OK", list));
     }
+    /// Returns whether the latest discovery call asks for changes since that version.
     bool is_watched_from(const std::string& version) const {
         return !agent.requests.empty() && agent.requests.back().target().find("from=" + version + "&") !=
                                               boost::beast::string_view::npos;
--- a/tests/program_path.hpp
+++ b/tests/program_path.hpp
@@ -1,9 +1,10 @@
-// Where the build has put the program.
+/// @file
+/// The location of the program in the build tree.
 #pragma once
 
 namespace mothring::test {
 
-// The path of the executable `mothring`.
+/// Returns the path of the executable `mothring`.
 const char* program_path();
 
 }  // namespace mothring::test
--- a/tests/program_rig.hpp
+++ b/tests/program_rig.hpp
@@ -1,4 +1,5 @@
-// The program as the platform starts and ends it, in a process of its own.
+/// @file
+/// Starts and stops the program in a separate process, as the platform does.
 #pragma once
 
 #include <sys/wait.h>
@@ -21,12 +22,12 @@
 struct Program : testing::Test {
     std::filesystem::path folder =
         std::filesystem::temp_directory_path() / ("whinledge-test-" + std::to_string(::getpid()));
-    std::filesystem::path temporary_folder = folder;  // the program's $TMPDIR
+    std::filesystem::path temporary_folder = folder;  // the $TMPDIR of the program
     Program() { std::filesystem::create_directories(folder); }
     ~Program() override { std::filesystem::remove_all(folder); }
 
-    // A port for the program to listen on, kept until the test's end from all others who ask the system for
-    // one: it is bound here as well, and listened on only by the program.
+    /// Returns a free port for the program to listen on. The port stays bound here until the test ends, so
+    /// that the system assigns it to no other process; only the program listens on it.
     net::Tcp::endpoint free_address() {
         net::Tcp::acceptor& port = ports.emplace_back(ports_io, any_port.protocol());
         port.set_option(asio::socket_base::reuse_address(true));
@@ -37,12 +38,12 @@
     asio::io_context ports_io;
     std::list<net::Tcp::acceptor> ports;
 
-    // Starts the program with its log in a file.
+    /// Starts the program with its log in a file.
     pid_t start(const std::string& config, const std::string& log = "log") {
         return start_with(config,
                           [&] { return std::freopen((folder / log).c_str(), "w", stderr) != nullptr; });
     }
-    // Starts the program; `set_up` is what happens in the new process before.
+    /// Starts the program. The new process runs `set_up` before.
     pid_t start_with(const std::string& config, const std::function<bool()>& set_up) {
         std::ofstream(folder / "config.json") << config;
         const pid_t child = ::fork();
@@ -51,11 +52,11 @@
         ::setenv("LB_CONFIG", (folder / "config.json").c_str(), 1);
         ::setenv("TMPDIR", temporary_folder.c_str(), 1);
         if (!set_up()) ::_exit(126);
-        for (int file = 3; file < 1024; ++file) ::close(file);  // the test's connections are its own
+        for (int file = 3; file < 1024; ++file) ::close(file);  // don't inherit connections
         ::execl(mothring::test::program_path(), mothring::test::program_path(), static_cast<char*>(nullptr));
         ::_exit(127);
     }
-    // How often that event is in that log.
+    /// Returns how many lines of the log have that event.
     std::size_t count_logged(const std::string& log, const std::string& event) const {
         std::ifstream lines(folder / log);
         std::size_t count = 0;
@@ -63,7 +64,7 @@
             count += line.find("\"event\":\"" + event + "\"") != std::string::npos;
         return count;
     }
-    // Runs `mothring check-config FILE` on a TOML text; its exit status.
+    /// Runs `mothring check-config FILE` on a TOML text and returns the exit status.
     int check_config(const std::string& toml) {
         std::ofstream(folder / "sidecar.toml") << toml;
         const pid_t child = ::fork();
@@ -75,6 +76,7 @@
                 (folder / "sidecar.toml").c_str(), static_cast<char*>(nullptr));
         ::_exit(127);
     }
+    /// Waits for the end of the process and returns its exit status; -1 if a signal ended it.
     static int exit_status_of(pid_t child) {
         int status = 0;
         ::waitpid(child, &status, 0);
--- a/tests/recorded_conversation_rig.hpp
+++ b/tests/recorded_conversation_rig.hpp
@@ -1,8 +1,7 @@
 /// @file
-/// What the recorded conversations share: a whole sidecar between a client and a server, which both record
-/// every byte that they receive. What the tests expect is the recording of an earlier version: it shows
-/// whether a change of the code has changed the bytes. Only what has to vary from run to run is replaced by
-/// a mark before the comparison.
+/// A complete sidecar between a client and a server that both record every byte they receive, for the tests
+/// of recorded conversations. The tests compare the bytes with the recording of an earlier version, so that
+/// any change of the bytes shows. Only values that differ from run to run are masked before the comparison.
 #pragma once
 
 #include <array>
@@ -15,13 +14,13 @@
 
 inline constexpr std::size_t kReadSize = 65536;  // bytes
 
-/// Both ends of a connection are recorded as the bytes, followed by how the connection ended, if it did.
+/// Markers that a recording has after its bytes if the connection was closed or reset.
 inline constexpr std::string_view kClosed = "<closed>";
 inline constexpr std::string_view kReset = "<reset>";
 
 inline std::string_view ending_of(error_code failed) { return failed == asio::error::eof ? kClosed : kReset; }
 
-/// Bytes of a body, different at each position of any chunk.
+/// Returns a body whose bytes show a lost, repeated or misplaced part.
 inline std::string body_of_size(std::size_t size) {
     constexpr std::size_t kAlphabet = 26;
     constexpr std::size_t kRow = 251;
@@ -32,7 +31,7 @@
     return body;
 }
 
-/// Replaces the number in each header that states what is left of a request's time.
+/// Masks the remaining time of a request in each Request-Timeout-Ms header, as it differs from run to run.
 inline std::string mask_varying_values(std::string bytes) {
     const std::string header = "Request-Timeout-Ms: ";
     for (std::size_t at = bytes.find(header); at != std::string::npos; at = bytes.find(header, at)) {
@@ -44,8 +43,8 @@
     return bytes;
 }
 
-/// The body of a chunked message that begins at `at`, whatever the sizes of its chunks.
-/// @return empty where the chunks are not complete.
+/// Decodes the chunked body that begins at `at`.
+/// @return empty if the chunks are not complete.
 inline std::string decode_chunks(const std::string& bytes, std::size_t at) {
     constexpr int kHexadecimal = 16;
     constexpr std::size_t kLineEnd = 2;
@@ -61,7 +60,7 @@
     }
 }
 
-/// One connection of the application, with everything that it has received.
+/// A client with one connection that records all bytes received.
 class RecordingClient {
 public:
     RecordingClient(asio::io_context& io, const net::Tcp::endpoint& address) : socket_(io) {
@@ -91,8 +90,8 @@
     std::array<char, kReadSize> piece_{};
 };
 
-/// A server that records the bytes of each request, and answers the complete ones with a script's replies in
-/// turn, the last one again and again.
+/// A server that records the bytes of each request and answers complete requests with the scripted replies in
+/// order. The last reply is repeated.
 class RecordingServer {
 public:
     explicit RecordingServer(asio::io_context& io) : acceptor_(io, any_port) { accept(); }
@@ -101,7 +100,7 @@
     void stop_listening() { acceptor_.close(); }
     void send(const std::string& bytes) { asio::write(connections_.back()->socket, asio::buffer(bytes)); }
     void close() { connections_.back()->socket.close(); }
-    /// All requests that have begun to arrive, in the order of their first bytes.
+    /// Returns the bytes of all requests, complete or not, in the order of their first bytes.
     std::string received() const {
         std::string all;
         for (const std::string& request : requests_) all += request;
@@ -120,7 +119,7 @@
         std::array<char, kReadSize> piece{};
         std::string unparsed;
         std::optional<Parser> parser;
-        std::size_t request = 0;  // its place among the requests
+        std::size_t request = 0;  // index in requests_
     };
     using ConnectionPtr = std::shared_ptr<Connection>;
 
@@ -208,21 +207,21 @@
         start({{"s-a", server.address()}});
     }
     RecordingClient& connect() { return recording_clients.emplace_back(io, sidecar->address()); }
-    /// Waits for the end of all answers: where the connection is still open then, a health check behind the
-    /// requests is answered after them.
+    /// Waits for all responses and returns the bytes received. On an open connection a health check is sent
+    /// after the requests, whose response comes last.
     std::string finish(RecordingClient& client) {
         if (!client.ended) client.send(health_check);
         until([&] { return client.ended || client.received.ends_with(healthy); });
         return mask_varying_values(client.received);
     }
-    /// What a client receives that sends these bytes at once.
+    /// Sends the bytes on a new connection and returns the bytes received.
     std::string answer_to(const std::string& bytes) {
         RecordingClient& client = connect();
         client.send(bytes);
         until([&] { return client.ended || !client.received.empty(); });
         return finish(client);
     }
-    /// The same for bytes that end the connection.
+    /// Sends bytes after which the sidecar closes the connection, and returns the bytes received.
     std::string answer_until_closed(const std::string& bytes) {
         RecordingClient& client = connect();
         client.send(bytes);
--- a/tests/retry_pacer_test.cpp
+++ b/tests/retry_pacer_test.cpp
@@ -1,4 +1,4 @@
-// When a failed call is retried at once, and when after a pause.
+// Tests which failed calls are retried immediately and which after a pause.
 #include "net/retry_pacer.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
     int resumed = 0;
 
     RetryPacerTest() { pacer.emplace(io, kPause); }
-    /// How many failures in a row it takes until there is a pause.
+    /// Returns how many consecutive failures lead to a pause.
     int failures_until_pause(boost::system::error_code failed) {
         int failures = 1;
         while (!pacer->must_pause_after(failed) && failures < 100) ++failures;
@@ -31,21 +31,22 @@
     }
 };
 
-TEST_F(RetryPacerTest, AFailureOfOneConnectionIsRetriedAtOnce) {
+TEST_F(RetryPacerTest, RetriesFailureOfOneConnectionImmediately) {
     EXPECT_FALSE(pacer->must_pause_after(asio::error::connection_aborted));
 }
 
-TEST_F(RetryPacerTest, AShortagePausesAtOnce) {
+TEST_F(RetryPacerTest, PausesImmediatelyOnResourceShortage) {
     for (const int shortage : {EMFILE, ENFILE, ENOBUFS, ENOMEM})
         EXPECT_TRUE(pacer->must_pause_after({shortage, boost::system::system_category()})) << shortage;
 }
 
-TEST_F(RetryPacerTest, ManyFailuresInARowPause) {
+TEST_F(RetryPacerTest, PausesAfterConsecutiveFailures) {
     EXPECT_EQ(failures_until_pause(asio::error::connection_aborted), kFailuresBeforePause);
-    EXPECT_EQ(failures_until_pause(asio::error::connection_aborted), kFailuresBeforePause) << "counted anew";
+    EXPECT_EQ(failures_until_pause(asio::error::connection_aborted), kFailuresBeforePause)
+        << "the count starts again after a pause";
 }
 
-TEST_F(RetryPacerTest, ASuccessEndsTheRow) {
+TEST_F(RetryPacerTest, SuccessResetsFailureCount) {
     for (int failures = 1; failures < kFailuresBeforePause; ++failures)
         EXPECT_FALSE(pacer->must_pause_after(asio::error::connection_aborted));
     pacer->on_success();
@@ -61,14 +62,14 @@
     EXPECT_GE(std::chrono::steady_clock::now() - began, to_duration(kPause));
 }
 
-TEST_F(RetryPacerTest, AnotherPauseTakesThePlaceOfTheFirst) {
+TEST_F(RetryPacerTest, SecondPauseReplacesFirst) {
     pause();
     pause();
     io.run();
     EXPECT_EQ(resumed, 1);
 }
 
-TEST_F(RetryPacerTest, DoesNotResumeOnceCancelledOrGone) {
+TEST_F(RetryPacerTest, DoesNotResumeAfterCancellationOrDestruction) {
     pause();
     pacer->cancel();
     io.run();
--- a/tests/system_call_faults.cpp
+++ b/tests/system_call_faults.cpp
@@ -20,7 +20,7 @@
 
 struct Fault {
     int error = 0;
-    int times = 0;               // still to come
+    int times = 0;               // failures still to inject
     std::size_t most_bytes = 0;  // 0: no limit
     Ports ports;
     int failed = 0, made = 0;
@@ -28,7 +28,7 @@
 
 struct State {
     std::array<Fault, 7> faults;
-    int endless_waits = 0;
+    int unbounded_waits = 0;
     bool armed = false;
 };
 State state;
@@ -40,8 +40,8 @@
     return ntohs(reinterpret_cast<const sockaddr_in*>(address)->sin_port);
 }
 
-/// What an edge-triggered queue was told of a descriptor, and which queue.
-std::map<int, std::pair<int, epoll_event>>& watched() {
+/// The epoll queue and the event with which each descriptor was registered.
+std::map<int, std::pair<int, epoll_event>>& epoll_registrations() {
     static std::map<int, std::pair<int, epoll_event>> all;
     return all;
 }
@@ -59,7 +59,7 @@
     return ports.peer == 0 || port_by(::getpeername, socket) == ports.peer;
 }
 
-/// Whether this call fails; errno is set then.
+/// Counts a matching call and returns whether it fails; errno is set then.
 bool fails(Fault& fault) {
     ++fault.made;
     if (fault.times == 0) return false;
@@ -69,7 +69,7 @@
     return true;
 }
 
-/// How much of it is moved at a time.
+/// Returns how many bytes the call may transfer.
 std::size_t shortened(SystemCall call, int socket, std::size_t size) {
     const Fault& fault = fault_of(call);
     if (!state.armed || fault.most_bytes == 0 || !matches(fault.ports, socket)) return size;
@@ -79,13 +79,14 @@
 template <class Function>
 Function next(const char* name);
 
-/// By epoll(7) a queue tells of a descriptor once, and not again before a call has moved nothing: where the
-/// kernel would have moved more than a fault allows, the queue has to be asked to tell again.
-void tell_again(int socket) {
+/// Makes an edge-triggered epoll queue report the descriptor again. By epoll(7) it reports a descriptor once,
+/// and not again before a call has returned EAGAIN. If a fault stops a call earlier than the kernel would
+/// have, the event has to be armed again.
+void rearm_epoll(int socket) {
     static const auto real = next<decltype(&::epoll_ctl)>("epoll_ctl");
     const int saved = errno;
-    const auto at = watched().find(socket);
-    if (at != watched().end()) real(at->second.first, EPOLL_CTL_MOD, socket, &at->second.second);
+    const auto at = epoll_registrations().find(socket);
+    if (at != epoll_registrations().end()) real(at->second.first, EPOLL_CTL_MOD, socket, &at->second.second);
     errno = saved;
 }
 
@@ -93,17 +94,17 @@
     if (!state.armed) return false;
     Fault& fault = fault_of(call);
     if (!matches(fault.ports, socket) || !fails(fault)) return false;
-    if (fault.error == EAGAIN) tell_again(socket);
+    if (fault.error == EAGAIN) rearm_epoll(socket);
     return true;
 }
 
-ssize_t told_again(ssize_t moved, SystemCall call, int socket) {
+ssize_t rearm_after_cut(ssize_t moved, SystemCall call, int socket) {
     const bool was_cut = moved > 0 && fault_of(call).most_bytes == static_cast<std::size_t>(moved);
-    if (state.armed && was_cut && matches(fault_of(call).ports, socket)) tell_again(socket);
+    if (state.armed && was_cut && matches(fault_of(call).ports, socket)) rearm_epoll(socket);
     return moved;
 }
 
-/// The message's parts, cut off after so many bytes as are moved at a time.
+/// Returns the parts of the message, cut off at the number of bytes that the call may transfer.
 std::vector<iovec> shortened(SystemCall call, int socket, const msghdr& message) {
     std::vector<iovec> parts;
     std::size_t left = shortened(call, socket, static_cast<std::size_t>(-1));
@@ -115,7 +116,8 @@
     return parts;
 }
 
-/// The library's own: looked up at the first call, as the sanitizers' are not there any sooner.
+/// Returns the library's function. Callers look it up at the first call, as the sanitizers' interceptors are
+/// not available before.
 template <class Function>
 Function next(const char* name) {
     return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
@@ -141,11 +143,11 @@
 }
 int SystemCallFaults::failure_count(SystemCall call) const { return fault_of(call).failed; }
 int SystemCallFaults::call_count(SystemCall call) const { return fault_of(call).made; }
-int SystemCallFaults::unbounded_wait_count() const { return state.endless_waits; }
+int SystemCallFaults::unbounded_wait_count() const { return state.unbounded_waits; }
 
 }  // namespace mothring::test
 
-// ---- The calls themselves ---------------------------------------------------------------------------------
+// ---- The intercepted calls --------------------------------------------------------------------------------
 
 using mothring::test::SystemCall;
 namespace faults = mothring::test;
@@ -178,7 +180,7 @@
 int poll(pollfd* entries, nfds_t count, int timeout) {
     static const auto real = faults::next<decltype(&::poll)>("poll");
     if (faults::state.armed && timeout < 0) {
-        ++faults::state.endless_waits;
+        ++faults::state.unbounded_waits;
         errno = EINTR;
         return -1;
     }
@@ -189,9 +191,9 @@
 int epoll_ctl(int queue, int operation, int descriptor, epoll_event* event) noexcept {
     static const auto real = faults::next<decltype(&::epoll_ctl)>("epoll_ctl");
     if (operation == EPOLL_CTL_DEL)
-        faults::watched().erase(descriptor);
+        faults::epoll_registrations().erase(descriptor);
     else
-        faults::watched()[descriptor] = {queue, *event};
+        faults::epoll_registrations()[descriptor] = {queue, *event};
     return real(queue, operation, descriptor, event);
 }
 
@@ -204,7 +206,7 @@
     static const auto real = faults::next<decltype(&::recv)>("recv");
     if (faults::fails(SystemCall::receive, socket)) return -1;
     const ssize_t moved = real(socket, bytes, faults::shortened(SystemCall::receive, socket, size), flags);
-    return faults::told_again(moved, SystemCall::receive, socket);
+    return faults::rearm_after_cut(moved, SystemCall::receive, socket);
 }
 
 ssize_t recvfrom(int socket, void* bytes, size_t size, int flags, sockaddr* from, socklen_t* from_size) {
@@ -224,14 +226,14 @@
     message->msg_flags = cut.msg_flags;
     message->msg_namelen = cut.msg_namelen;
     message->msg_controllen = cut.msg_controllen;
-    return faults::told_again(moved, SystemCall::receive, socket);
+    return faults::rearm_after_cut(moved, SystemCall::receive, socket);
 }
 
 ssize_t send(int socket, const void* bytes, size_t size, int flags) {
     static const auto real = faults::next<decltype(&::send)>("send");
     if (faults::fails(SystemCall::send, socket)) return -1;
     const ssize_t moved = real(socket, bytes, faults::shortened(SystemCall::send, socket, size), flags);
-    return faults::told_again(moved, SystemCall::send, socket);
+    return faults::rearm_after_cut(moved, SystemCall::send, socket);
 }
 
 ssize_t sendto(int socket, const void* bytes, size_t size, int flags, const sockaddr* to, socklen_t to_size) {
@@ -247,7 +249,7 @@
     msghdr cut = *message;
     cut.msg_iov = parts.data();
     cut.msg_iovlen = parts.size();
-    return faults::told_again(real(socket, &cut, flags), SystemCall::send, socket);
+    return faults::rearm_after_cut(real(socket, &cut, flags), SystemCall::send, socket);
 }
 
 }  // extern "C"
--- a/tests/system_call_faults.hpp
+++ b/tests/system_call_faults.hpp
@@ -1,9 +1,10 @@
-// System calls that fail for a moment, in the ways that Linux documents, for tests of what a program does
-// about that.
-//
-// The calls are defined in the test executable, whose symbols go before those of the C library: a call of the
-// program under test comes here first, and goes on to the library unless a fault has been armed for it. A
-// filter by port keeps the test's own peers, in the same process, out of it. For one thread.
+/// @file
+/// Injects temporary failures of system calls, with the errors that Linux documents, to test how the code
+/// under test handles them.
+///
+/// The test executable defines the calls, and its symbols take precedence over those of the C library. Each
+/// call goes to the definition here first, which forwards it to the library unless a fault is armed for it. A
+/// filter by port excludes the test's own peers in the same process. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -13,13 +14,13 @@
 
 enum class SystemCall { accept, socket, connect, poll, epoll_wait, receive, send };
 
-/// Which sockets are meant: those with these ports; 0: any. A call that has no socket matches only `{}`.
+/// Selects sockets by port; 0 matches any port. A call without a socket matches only `{}`.
 struct Ports {
     std::uint16_t local = 0;
     std::uint16_t peer = 0;
 };
 
-/// Arms faults; all of them, and the counts, end with it. One at a time.
+/// Arms faults. Its destruction disarms them and clears the counts. Only one object may exist at a time.
 class SystemCallFaults {
 public:
     SystemCallFaults();
@@ -27,16 +28,17 @@
     SystemCallFaults(const SystemCallFaults&) = delete;
     SystemCallFaults& operator=(const SystemCallFaults&) = delete;
 
-    /// The next `times` such calls on such sockets fail with that value of errno, and do nothing else. Takes
-    /// the place of what was armed for that call before; 0 times ends it.
+    /// Makes the next `times` matching calls fail with that value of errno and without any other effect.
+    /// Replaces the fault that was armed for that call; 0 `times` disarms it.
     void fail(SystemCall call, int error, int times = 1, Ports ports = {});
-    /// Each such call moves at most so many bytes.
+    /// Limits each matching call to that many bytes. Replaces the fault that was armed for that call.
     void limit_bytes(SystemCall receive_or_send, std::size_t most_bytes, Ports ports = {});
 
-    /// How many such calls have failed by what was armed last, and how many of its filter were made since.
+    /// Returns how many calls the fault armed last has made fail.
     int failure_count(SystemCall call) const;
+    /// Returns how many calls have matched the filter of the fault armed last.
     int call_count(SystemCall call) const;
-    /// How many calls would have waited without a limit, in poll(): they are interrupted instead.
+    /// Returns how many calls of poll() would have blocked without a time-out. They are interrupted instead.
     int unbounded_wait_count() const;
 };
 
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -1,5 +1,6 @@
-// What fails for a moment at this machine costs no request its answer, says nothing of the servers or of
-// discovery, and keeps nobody busy.
+/// @file
+/// Tests that temporary failures of system calls lose no request, do not count against servers or discovery,
+/// and do not make the sidecar spin.
 #include <poll.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -33,14 +34,15 @@
 struct SystemCalls : NetRig {
     SystemCallFaults faults;
 
-    Ports at_front() const { return {sidecar->address().port(), 0}; }
+    Ports downstream_ports() const { return {sidecar->address().port(), 0}; }
     static Ports to(const ScriptedServer& server) { return {0, server.endpoint().port()}; }
-    // The loop goes on for so long, whatever happens.
-    void let_pass(std::chrono::microseconds length) {
+    // Runs the event loop for that long.
+    void run_for(std::chrono::microseconds length) {
         const auto end = std::chrono::steady_clock::now() + length;
         until([&] { return std::chrono::steady_clock::now() >= end; });
     }
-    /// Two servers that have served, and close after each answer, so that each attempt has to connect.
+    /// Starts the sidecar with two servers that have answered requests. They close the connection after each
+    /// response, so that each attempt has to connect.
     void start_with_servers_known() {
         a.script = b.script = [](const auto&) {
             return Reply{response("200 OK", "served", "Connection: close\r\n"), true};
@@ -50,28 +52,28 @@
             EXPECT_EQ(send_and_wait(request("deposit", "known-" + std::to_string(i))).result_int(), 200u);
         until([&] { return is_watched_from("41"); });
     }
-    /// A request on a connection that is there.
-    TestClient::Answer ask_on(TestClient& c, const std::string& bytes) {
+    /// Sends a request on an existing connection and waits for the response.
+    TestClient::Answer send_and_wait_on(TestClient& c, const std::string& bytes) {
         const std::size_t before = c.answers.size();
         c.send(bytes);
         until([&] { return c.answers.size() > before || c.ended; });
         return c.answers.size() > before ? c.answers.back() : TestClient::Answer{};
     }
-    bool nothing_out() const { return sidecar->metrics().in_flight == 0; }
+    bool is_idle() const { return sidecar->metrics().in_flight == 0; }
 };
 
 // ---- Connections to servers -------------------------------------------------------------------------------
 
-struct ConnectingOut : SystemCalls {
+struct UpstreamConnecting : SystemCalls {
     std::optional<UpstreamPool> upstream;
     std::vector<Outcome> outcomes;
 
-    ConnectingOut() {
+    UpstreamConnecting() {
         upstream.emplace(io, UpstreamPool::Limits{},
                          std::make_shared<net::BufferBudget>(net::BufferBudget{16 << 20}));
         upstream->set_server(kServer, a.endpoint(), 0);
     }
-    Outcome one() {
+    Outcome run_attempt() {
         UpstreamPool::Request request;
         request.message.method(http::verb::post);
         request.message.target("/deposit");
@@ -82,47 +84,47 @@
         until([&] { return outcomes.size() > before; });
         return outcomes.empty() ? Outcome::cancelled : outcomes.back();
     }
-    Outcome after_connect_fails_with(int error) {
+    Outcome outcome_of_failed_connect(int error) {
         faults.fail(SystemCall::connect, error, 1, to(a));
-        return one();
+        return run_attempt();
     }
 };
 
-TEST_F(ConnectingOut, FailureOfThisMachine_isNotIssuedAndNoVerdict) {
+TEST_F(UpstreamConnecting, LocalConnectFailure_isReportedAsNotSent) {
     for (const int error : {EADDRNOTAVAIL, EADDRINUSE, EAGAIN, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM,
                             ENETDOWN, ENETUNREACH, EACCES, EPERM}) {
-        EXPECT_EQ(after_connect_fails_with(error), Outcome::not_sent) << std::strerror(error);
+        EXPECT_EQ(outcome_of_failed_connect(error), Outcome::not_sent) << std::strerror(error);
         EXPECT_EQ(faults.failure_count(SystemCall::connect), 1);
         EXPECT_EQ(upstream->stats().open, 0u);
     }
     EXPECT_EQ(a.requests.size(), 0u);
-    EXPECT_EQ(one(), Outcome::completed);
+    EXPECT_EQ(run_attempt(), Outcome::completed);
 }
 
-TEST_F(ConnectingOut, FailureOfTheServer_provesThatItNeverRan) {
+TEST_F(UpstreamConnecting, RemoteConnectFailure_isReportedAsConnectFailed) {
     for (const int error : {ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH})
-        EXPECT_EQ(after_connect_fails_with(error), Outcome::connect_failed) << std::strerror(error);
-    EXPECT_EQ(one(), Outcome::completed);
+        EXPECT_EQ(outcome_of_failed_connect(error), Outcome::connect_failed) << std::strerror(error);
+    EXPECT_EQ(run_attempt(), Outcome::completed);
 }
 
-TEST_F(ConnectingOut, NoSocket_isNotIssuedAndNoVerdict) {
+TEST_F(UpstreamConnecting, SocketCreationFailure_isReportedAsNotSent) {
     for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
         faults.fail(SystemCall::socket, error, 1);
-        EXPECT_EQ(one(), Outcome::not_sent) << std::strerror(error);
+        EXPECT_EQ(run_attempt(), Outcome::not_sent) << std::strerror(error);
         EXPECT_EQ(upstream->stats().open, 0u);
     }
-    EXPECT_EQ(one(), Outcome::completed);
+    EXPECT_EQ(run_attempt(), Outcome::completed);
 }
 
-// Of a server's own connections one fails for a moment here: the request has its answer at once elsewhere,
-// and the server keeps its place.
-TEST_F(SystemCalls, OneFailingConnect_costsNoRequestItsAnswer) {
+// A single connect fails on this machine: the request must be answered by another attempt, and the server
+// must not be ejected.
+TEST_F(SystemCalls, SingleConnectFailure_losesNoRequest) {
     for (const int error : {EADDRNOTAVAIL, EAGAIN, EINTR, ENOBUFS, ENETUNREACH}) {
         start_with_servers_known();
         TestClient& c = client();
         const std::size_t before = server_request_count();
         faults.fail(SystemCall::connect, error, 1);
-        EXPECT_EQ(ask_on(c, request("deposit", "id-" + std::to_string(error))).result_int(), 200u)
+        EXPECT_EQ(send_and_wait_on(c, request("deposit", "id-" + std::to_string(error))).result_int(), 200u)
             << std::strerror(error);
         EXPECT_EQ(faults.failure_count(SystemCall::connect), 1) << std::strerror(error);
         EXPECT_EQ(sidecar->metrics().servers_unavailable, 0u) << std::strerror(error);
@@ -131,41 +133,40 @@
     }
 }
 
-// While no connection comes up a request is refused after its attempts, once, and nobody is out of the pool
-// after that.
-TEST_F(SystemCalls, AllConnectsFailing_refusesAtOnceAndEjectsNobody) {
+// All connects fail on this machine: the request is rejected after its attempts, and no server is ejected.
+TEST_F(SystemCalls, AllConnectsFailing_rejectsRequestAndEjectsNoServer) {
     start_with_servers_known();
     TestClient& c = client();
     const std::size_t before = server_request_count();
     faults.fail(SystemCall::connect, EADDRNOTAVAIL, kForever);
-    EXPECT_EQ(ask_on(c, request("deposit", "id-1")).result_int(), 503u);
+    EXPECT_EQ(send_and_wait_on(c, request("deposit", "id-1")).result_int(), 503u);
     EXPECT_LE(faults.failure_count(SystemCall::connect), 4) << "max-attempts";
     faults.fail(SystemCall::connect, 0, 0);
     EXPECT_EQ(sidecar->metrics().servers_unavailable, 0u);
-    EXPECT_EQ(ask_on(c, request("deposit", "id-2")).result_int(), 200u);
+    EXPECT_EQ(send_and_wait_on(c, request("deposit", "id-2")).result_int(), 200u);
     EXPECT_EQ(server_request_count(), before + 1);
 }
 
 // ---- Accepting --------------------------------------------------------------------------------------------
 
-TEST_F(SystemCalls, AcceptFailingForOneConnection_takesTheNextAtOnce) {
+TEST_F(SystemCalls, SingleAcceptFailure_acceptsNextConnectionImmediately) {
     start();
     for (const int error : {ECONNABORTED, EPROTO, EINTR, EHOSTUNREACH, ETIMEDOUT, EMFILE}) {
-        faults.fail(SystemCall::accept, error, 1, at_front());
+        faults.fail(SystemCall::accept, error, 1, downstream_ports());
         EXPECT_EQ(send_and_wait(request("listen", "id-" + std::to_string(error))).result_int(), 200u)
             << std::strerror(error);
         EXPECT_EQ(faults.failure_count(SystemCall::accept), 1) << std::strerror(error);
     }
 }
 
-// However long it fails, it neither keeps the sidecar busy nor ends its listening.
-TEST_F(SystemCalls, AcceptFailingForLong_pauses) {
+// An accept that keeps failing must neither make the sidecar spin nor end its listening.
+TEST_F(SystemCalls, PersistentAcceptFailure_pausesBetweenRetries) {
     start();
     for (const int error : {ECONNABORTED, EMFILE}) {
-        faults.fail(SystemCall::accept, error, kForever, at_front());
+        faults.fail(SystemCall::accept, error, kForever, downstream_ports());
         TestClient& waiting = client();
         waiting.send(request("listen", "id-" + std::to_string(error)));
-        let_pass(std::chrono::milliseconds(200));
+        run_for(std::chrono::milliseconds(200));
         EXPECT_GE(faults.failure_count(SystemCall::accept), 2) << std::strerror(error);
         EXPECT_LE(faults.failure_count(SystemCall::accept), 400) << std::strerror(error);
         faults.fail(SystemCall::accept, 0, 0);
@@ -173,17 +174,17 @@
     }
 }
 
-// The end of a drain looks for what the machine has accepted, and must not wait for it.
-TEST_F(SystemCalls, AcceptFailingAtTheEndOfADrain_neitherWaitsNorLosesWhatCame) {
+// The end of a drain accepts the connections still in the accept queue, and must not block while it does.
+TEST_F(SystemCalls, AcceptFailureAtEndOfDrain_neitherBlocksNorLosesConnections) {
     for (const int error : {ECONNABORTED, EPROTO, EINTR, EMFILE, ENOBUFS}) {
         start();
-        // Signals come now and then: only the others go on.
-        faults.fail(SystemCall::accept, error, error == EINTR ? 3 : kForever, at_front());
+        // An interruption ends after a few calls; the other failures last.
+        faults.fail(SystemCall::accept, error, error == EINTR ? 3 : kForever, downstream_ports());
         TestClient& waiting = client();
         waiting.send(request("listen", "id-" + std::to_string(error)));
         bool drained = false;
         sidecar->drain([&] { drained = true; });
-        let_pass(std::chrono::milliseconds(600));  // past the time for which new connections come
+        run_for(std::chrono::milliseconds(600));  // past the time in which a drain accepts new connections
         EXPECT_EQ(faults.unbounded_wait_count(), 0) << std::strerror(error);
         EXPECT_TRUE(error == EINTR || !drained) << std::strerror(error);
         faults.fail(SystemCall::accept, 0, 0);
@@ -194,7 +195,7 @@
     }
 }
 
-TEST_F(SystemCalls, AcceptFailingForAnOperator_takesTheNextAtOnce) {
+TEST_F(SystemCalls, OperatorAcceptFailure_acceptsNextConnectionImmediately) {
     start_with_operators({{"s-a", a.address()}});
     const Ports at_operators{sidecar->operator_address()->port(), 0};
     for (const int error : {ECONNABORTED, EPROTO, EINTR, EMFILE}) {
@@ -206,15 +207,15 @@
     }
     faults.fail(SystemCall::accept, ECONNABORTED, kForever, at_operators);
     clients.emplace_back(io, *sidecar->operator_address());
-    let_pass(std::chrono::milliseconds(200));
+    run_for(std::chrono::milliseconds(200));
     EXPECT_LE(faults.failure_count(SystemCall::accept), 400);
 }
 
 // ---- A client's end ---------------------------------------------------------------------------------------
 
-// The look at its connection right before the first byte of an attempt is interrupted, and is made again.
-// Beside another process one without a list begins to listen when it has one.
-TEST_F(SystemCalls, NoSocketForTheListener_isAskedForAgain) {
+// Alongside another process, a sidecar without an endpoint list starts to listen when it receives one. The
+// socket of its listener can't be created at first, and must be requested again.
+TEST_F(SystemCalls, ListenerSocketFailure_isRetried) {
     config::Config config = config::read_config(config_json(agent.address(), list_json(41, true, {})));
     config.listen = net::Tcp::acceptor(io, any_port).local_endpoint();
     config.operators = any_port;
@@ -231,28 +232,30 @@
     until([&] { return sidecar->ready(); });
 }
 
-TEST_F(SystemCalls, InterruptedLook_stillSeesThatTheClientHasLeft) {
+// A signal interrupts the poll of the client's connection right before the first byte of an attempt. The poll
+// must be repeated, so that no attempt is sent for a client that has left.
+TEST_F(SystemCalls, InterruptedPoll_stillDetectsClientDisconnect) {
     start_with_a();
     EXPECT_EQ(send_and_wait(request("deposit", "id-1")).result_int(), 200u);
     wait_for_connection_reuse(io);
     TestClient& leaving = client();
-    faults.fail(SystemCall::poll, EINTR, 1, at_front());
+    faults.fail(SystemCall::poll, EINTR, 1, downstream_ports());
     leaving.send(request("deposit", "id-left"));
     leaving.close();
     until([&] { return faults.failure_count(SystemCall::poll) == 1; });
-    until([&] { return nothing_out(); });
+    until([&] { return is_idle(); });
     EXPECT_EQ(send_and_wait(request("deposit", "id-3")).result_int(), 200u);
     for (const auto& seen : a.requests) EXPECT_NE(seen["Request-Id"], "id-left");
 }
 
 // ---- Reads, writes and waits ------------------------------------------------------------------------------
 
-TEST_F(SystemCalls, OneByteAtATime_servesWhole) {
+TEST_F(SystemCalls, OneByteAtATime_servesCompleteMessages) {
     start_with_a();
     a.script = [](const auto& seen) { return Reply{response("200 OK", seen.body())}; };
     const std::string body(500, 'x');
-    faults.limit_bytes(SystemCall::receive, 1, at_front());
-    faults.limit_bytes(SystemCall::send, 1, at_front());
+    faults.limit_bytes(SystemCall::receive, 1, downstream_ports());
+    faults.limit_bytes(SystemCall::send, 1, downstream_ports());
     EXPECT_EQ(send_and_wait(request("deposit", "id-1", 5000, body)).body(), body);
     faults.limit_bytes(SystemCall::receive, 1, to(a));
     faults.limit_bytes(SystemCall::send, 1, to(a));
@@ -260,10 +263,10 @@
     EXPECT_EQ(a.requests.size(), 2u);
 }
 
-TEST_F(SystemCalls, InterruptedReadOfAClient_losesNoRequest) {
+TEST_F(SystemCalls, InterruptedClientRead_losesNoRequest) {
     start_with_a();
     for (int times = 1; times <= 8; ++times) {
-        faults.fail(SystemCall::receive, EINTR, times, at_front());
+        faults.fail(SystemCall::receive, EINTR, times, downstream_ports());
         EXPECT_EQ(send_and_wait(request("deposit", "id-" + std::to_string(times))).result_int(), 200u)
             << times;
         EXPECT_EQ(faults.failure_count(SystemCall::receive), times);
@@ -271,14 +274,14 @@
     EXPECT_EQ(a.requests.size(), 8u);
 }
 
-// The next request comes early, and the look at it while the first waits for its answer is interrupted.
-TEST_F(SystemCalls, InterruptedLookAtAnEarlyRequest_losesNeither) {
+// A signal interrupts the read of an early second request while the first one waits for its response.
+TEST_F(SystemCalls, InterruptedReadOfEarlyRequest_losesNeitherRequest) {
     start_with_a();
     a.script = silence;
     TestClient& c = client();
     c.send(request("listen", "id-1"));
     until([&] { return a.requests.size() == 1; });
-    faults.fail(SystemCall::receive, EINTR, 1, at_front());
+    faults.fail(SystemCall::receive, EINTR, 1, downstream_ports());
     c.send(request("listen", "id-2"));
     until([&] { return faults.failure_count(SystemCall::receive) == 1; });
     a.script = serve;
@@ -287,7 +290,7 @@
     EXPECT_EQ(c.answers.size(), 2u);
 }
 
-TEST_F(SystemCalls, InterruptedReadOfAnAnswer_isReadAgain) {
+TEST_F(SystemCalls, InterruptedResponseRead_isRetried) {
     start_with_a();
     for (int times = 1; times <= 4; ++times) {
         faults.fail(SystemCall::receive, EINTR, times, to(a));
@@ -298,20 +301,20 @@
     EXPECT_EQ(a.requests.size(), 4u);
 }
 
-TEST_F(SystemCalls, InterruptedWrites_goOn) {
+TEST_F(SystemCalls, InterruptedWrites_continue) {
     start_with_a();
     faults.fail(SystemCall::send, EINTR, 5, to(a));
     EXPECT_EQ(send_and_wait(request("deposit", "id-1")).result_int(), 200u);
     EXPECT_EQ(faults.failure_count(SystemCall::send), 5);
-    faults.fail(SystemCall::send, EINTR, 5, at_front());
+    faults.fail(SystemCall::send, EINTR, 5, downstream_ports());
     EXPECT_EQ(send_and_wait(request("deposit", "id-2")).result_int(), 200u);
     EXPECT_EQ(faults.failure_count(SystemCall::send), 5);
     EXPECT_EQ(a.requests.size(), 2u);
 }
 
-// An upload that is whole here while its server takes no more of it, with a client that leaves: it is not
-// finished, also where settings forbid to withdraw what a server has whole.
-struct UploadToABusyServer : SystemCalls {
+// The sidecar has a complete upload, its server accepts no more bytes, and the client leaves. The upload must
+// not be completed, even if the settings forbid to cancel a request that a server has received completely.
+struct UploadToBlockedServer : SystemCalls {
     const std::string body = std::string(net::BodyBuffer::kMaxCapacity + 2000, 'x');
     static constexpr int kLongTime = 60000;  // ms, far more than until() waits
 
@@ -320,7 +323,7 @@
         sidecar.emplace(
             io, config::read_config(replace_first(text, "\"may-cancel\":true", "\"may-cancel\":false")));
     }
-    // Begun, and then held up; `early` is what its client sends behind it.
+    // Starts an upload and stalls it before the end. The client sends `early` after it.
     TestClient& upload(const std::string& early) {
         const std::string whole = request("deposit", "id-1", kLongTime, body);
         const std::size_t first_part = whole.size() - 10;
@@ -332,56 +335,57 @@
         until([&] { return sidecar->metrics().in_flight == 1; });
         return c;
     }
-    void server_takes_more() { faults.fail(SystemCall::send, EAGAIN, 0); }
-    void expect_not_finished() {
+    void resume_server_reads() { faults.fail(SystemCall::send, EAGAIN, 0); }
+    void expect_upload_not_completed() {
         until([&] { return sidecar->request_count() == 0 && a.ended_count() == 1; });
         EXPECT_EQ(a.requests.size(), 0u);
     }
 };
 
-TEST_F(UploadToABusyServer, ClientLeaves_isNotFinished) {
+TEST_F(UploadToBlockedServer, ClientDisconnects_isNotCompleted) {
     start_without_cancelling();
     upload("").close();
     until([&] { return sidecar->request_count() == 0; });
-    server_takes_more();
-    expect_not_finished();
+    resume_server_reads();
+    expect_upload_not_completed();
 }
 
-// Bytes of a next request hide the end of a client from whoever waits for it.
-TEST_F(UploadToABusyServer, ClientLeavesUnseen_isNotFinished) {
+// Unread bytes of a next request hide the end of the client's connection.
+TEST_F(UploadToBlockedServer, ClientDisconnectsUndetected_isNotCompleted) {
     start_without_cancelling();
     upload("G").close();
-    let_pass(std::chrono::milliseconds(20));
-    server_takes_more();
-    expect_not_finished();
+    run_for(std::chrono::milliseconds(20));
+    resume_server_reads();
+    expect_upload_not_completed();
 }
 
-TEST_F(UploadToABusyServer, ClientStays_isFinished) {
+TEST_F(UploadToBlockedServer, ClientStays_isCompleted) {
     start_without_cancelling();
     TestClient& c = upload("");
-    server_takes_more();
+    resume_server_reads();
     until([&] { return c.answers.size() == 1; });
     EXPECT_EQ(c.answers[0].result_int(), 200u);
     ASSERT_EQ(a.requests.size(), 1u);
     EXPECT_EQ(a.requests[0].body(), body);
 }
 
-// What is broken before the last byte of a request never ran; after that it may have, and is not sent again.
-TEST_F(ConnectingOut, BrokenWriting_neverRan) {
+// A request whose connection breaks before its last byte is sent has never run. After that it may have run,
+// and must not be sent again.
+TEST_F(UpstreamConnecting, WriteFailure_isReportedAsConnectFailed) {
     for (const int error : {EPIPE, ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
         faults.fail(SystemCall::send, error, 1, to(a));
-        EXPECT_EQ(one(), Outcome::connect_failed) << std::strerror(error);
+        EXPECT_EQ(run_attempt(), Outcome::connect_failed) << std::strerror(error);
     }
     EXPECT_EQ(a.requests.size(), 0u);
 }
-TEST_F(ConnectingOut, BrokenReading_mayHaveRun) {
+TEST_F(UpstreamConnecting, ReadFailure_isReportedAsConnectionLost) {
     for (const int error : {ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
         faults.fail(SystemCall::receive, error, 1, to(a));
-        EXPECT_EQ(one(), Outcome::connection_lost) << std::strerror(error);
+        EXPECT_EQ(run_attempt(), Outcome::connection_lost) << std::strerror(error);
     }
     EXPECT_EQ(a.requests.size(), 3u);
 }
-TEST_F(SystemCalls, BrokenReading_failsOnceAndIsNotSentAgain) {
+TEST_F(SystemCalls, ReadFailure_failsRequestWithoutRetry) {
     for (const int error : {ECONNRESET, ETIMEDOUT, EHOSTUNREACH}) {
         start_with_a();
         const std::size_t before = server_request_count();
@@ -394,25 +398,26 @@
     }
 }
 
-TEST_F(SystemCalls, InterruptedWaits_goOn) {
+TEST_F(SystemCalls, InterruptedWaits_continue) {
     start();
     faults.fail(SystemCall::epoll_wait, EINTR, 200);
     for (int i = 0; i < 10; ++i)
         EXPECT_EQ(send_and_wait(request("deposit", "id-" + std::to_string(i))).result_int(), 200u);
     until([&] { return faults.failure_count(SystemCall::epoll_wait) == 200; });
-    // Timers too: the watch that nobody answers is begun anew when it is late.
+    // Timers continue too: an unanswered watch is restarted after its time-out.
     faults.fail(SystemCall::epoll_wait, EINTR, 200);
     until([&] { return agent.requests.size() == 2; });
 }
 
 // ---- Discovery --------------------------------------------------------------------------------------------
 
-constexpr Millis kBound = 6000;  // what a failed call missed counts as told so long after it began
-constexpr Millis kAgain = 100;   // between two calls
+/// The time after the start of a failed call within which the sidecar counts as notified of missed changes.
+constexpr Millis kNotificationBound = 6000;
+constexpr Millis kCallPause = 100;  // pause between two calls
 
 struct Watching : SystemCalls {
     std::vector<Discovery::Failure> failures;
-    std::vector<Millis> told_after;  // by each failure's word, from the first call on
+    std::vector<Millis> notified_after;  // the times stated by the failures, from the first call on
     std::optional<Discovery> discovery;
     std::chrono::steady_clock::time_point called;
 
@@ -422,7 +427,7 @@
             Discovery::Callbacks{[](const config::DiscoveryList&) {},
                                  [this](const Discovery::Failure& failure) {
                                      failures.push_back(failure);
-                                     told_after.push_back(since_called() + failure.notified_within);
+                                     notified_after.push_back(since_called() + failure.notified_within);
                                  }});
         called = std::chrono::steady_clock::now();
         discovery->watch(true);
@@ -435,8 +440,8 @@
     void expect_bound_from_the_first_call(int error) {
         for (int calls = 0; calls < 2; ++calls) {
             EXPECT_EQ(next_failure().kind, ListFailure::broken) << std::strerror(error);
-            EXPECT_LE(told_after.back(), kBound + kAgain / 2) << std::strerror(error);
-            let_pass(net::to_duration(kAgain));
+            EXPECT_LE(notified_after.back(), kNotificationBound + kCallPause / 2) << std::strerror(error);
+            run_for(net::to_duration(kCallPause));
             discovery->watch(true);
         }
         discovery.reset();
@@ -444,8 +449,9 @@
     Millis since_called() const { return net::millis(std::chrono::steady_clock::now() - called); }
 };
 
-// Discovery may well be reachable: the bound runs from the first of the calls, however many fail.
-TEST_F(Watching, FailureOfThisMachine_boundRunsFromTheFirstCall) {
+// Discovery may be reachable if a call fails on this machine. The bound must count from the first of several
+// failed calls.
+TEST_F(Watching, LocalFailure_boundCountsFromFirstCall) {
     for (const int error :
          {EADDRNOTAVAIL, EADDRINUSE, EAGAIN, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, ENETDOWN, ENETUNREACH}) {
         faults.fail(SystemCall::connect, error, kForever, to(agent));
@@ -454,7 +460,7 @@
     }
 }
 
-TEST_F(Watching, NoSocket_boundRunsFromTheFirstCall) {
+TEST_F(Watching, SocketCreationFailure_boundCountsFromFirstCall) {
     for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
         faults.fail(SystemCall::socket, error, kForever);
         watch();
@@ -462,27 +468,27 @@
     }
 }
 
-// Nobody is there: what is missed counts as told so long after discovery is back.
-TEST_F(Watching, FailureOfDiscovery_boundRunsAnew) {
+// Discovery can't be reached: the bound counts from the time at which it can be reached again.
+TEST_F(Watching, DiscoveryFailure_boundRestarts) {
     for (const int error : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH}) {
         faults.fail(SystemCall::connect, error, kForever, to(agent));
         watch();
         next_failure();
-        let_pass(net::to_duration(kAgain));
+        run_for(net::to_duration(kCallPause));
         discovery->watch(true);
         EXPECT_EQ(next_failure().kind, ListFailure::unreachable) << std::strerror(error);
-        EXPECT_GE(told_after.back(), kBound + kAgain / 2) << std::strerror(error);
+        EXPECT_GE(notified_after.back(), kNotificationBound + kCallPause / 2) << std::strerror(error);
         discovery.reset();
     }
 }
 
-// Where lists are pushed it tries again by itself, in steps, and watches once it can.
-TEST_F(Watching, PersistentWatch_isBegunAnewWithPauses) {
+// With pushed lists, a watch that can't connect is retried automatically with pauses until it connects.
+TEST_F(Watching, PersistentWatch_isRetriedWithPauses) {
     for (const int error : {EADDRNOTAVAIL, EMFILE, ENETUNREACH}) {
         const std::size_t before = agent.requests.size();
         faults.fail(SystemCall::connect, error, kForever, to(agent));
         watch(true);
-        let_pass(std::chrono::milliseconds(200));
+        run_for(std::chrono::milliseconds(200));
         EXPECT_GE(faults.failure_count(SystemCall::connect), 2) << std::strerror(error);
         EXPECT_LE(faults.failure_count(SystemCall::connect), 8) << std::strerror(error);
         faults.fail(SystemCall::connect, 0, 0);
@@ -493,8 +499,8 @@
 
 // ---- Datagrams --------------------------------------------------------------------------------------------
 
-// Whoever is told of a datagram has no memory for it: that one is lost, as any may be.
-TEST_F(SystemCalls, NoMemoryForAPeersDatagram_takesTheNext) {
+// The callback for a datagram runs out of memory: that datagram is lost, and the next one must be received.
+TEST_F(SystemCalls, OutOfMemoryForPeerDatagram_receivesNext) {
     const net::Udp::endpoint anywhere(asio::ip::address_v4::loopback(), 0);
     net::Udp::socket peer(io, anywhere);
     bool no_memory = true;
@@ -512,7 +518,7 @@
     until([&] { return received == 1; });
 }
 
-TEST_F(SystemCalls, ReceivingFromPeersFailingForLong_pauses) {
+TEST_F(SystemCalls, PersistentPeerReceiveFailure_pausesBetweenRetries) {
     const net::Udp::endpoint anywhere(asio::ip::address_v4::loopback(), 0);
     net::Udp::socket peer(io, anywhere);
     std::size_t received = 0;
@@ -524,13 +530,13 @@
         faults.fail(SystemCall::receive, error, kForever, at_peers);
         const std::size_t before = received;
         peer.send_to(asio::buffer(bytes), peers.address());
-        let_pass(std::chrono::milliseconds(200));
+        run_for(std::chrono::milliseconds(200));
         EXPECT_GE(faults.failure_count(SystemCall::receive), 2) << std::strerror(error);
         EXPECT_LE(faults.failure_count(SystemCall::receive), 400) << std::strerror(error);
         faults.fail(SystemCall::receive, 0, 0);
         until([&] { return received == before + 1; });
     }
-    // Once, and the datagram behind it is read at once.
+    // After a single failure the next datagram is read immediately.
     for (int i = 0; i < 3; ++i) {
         faults.fail(SystemCall::receive, ECONNREFUSED, 1, at_peers);
         const std::size_t before = received;
@@ -553,7 +559,7 @@
     }
 };
 
-TEST_F(Members, AcceptFailingForOneConnection_takesTheNextAtOnce) {
+TEST_F(Members, SingleAcceptFailure_acceptsNextConnectionImmediately) {
     cluster::Agent agent_of_first(io, settings({}), "n1", "1", {});
     const Ports at_first{agent_of_first.address().port(), 0};
     const auto rejected = [&] {
@@ -570,14 +576,14 @@
     }
 }
 
-TEST_F(Members, ReceivingFailingForLong_pauses) {
+TEST_F(Members, PersistentReceiveFailure_pausesBetweenRetries) {
     cluster::Agent first(io, settings({}), "n1", "1", {});
     const Ports at_first{first.address().port(), 0};
     faults.fail(SystemCall::receive, ENOMEM, kForever, at_first);
     cluster::Agent second(io, settings({tcp_of(first)}), "n2", "1", {});
     net::Udp::socket stranger(io, net::Udp::endpoint(asio::ip::address_v4::loopback(), 0));
     stranger.send_to(asio::buffer("x", 1), first.address());
-    let_pass(std::chrono::milliseconds(200));
+    run_for(std::chrono::milliseconds(200));
     EXPECT_GE(faults.failure_count(SystemCall::receive), 1);
     EXPECT_LE(faults.failure_count(SystemCall::receive), 4000);
     faults.fail(SystemCall::receive, 0, 0);
@@ -586,7 +592,7 @@
 
 // ---- The start --------------------------------------------------------------------------------------------
 
-/// The program, with at most so many descriptors at first, and what it logs.
+/// A process of the program with a limit of descriptors, and its log.
 class StartedProgram {
 public:
     explicit StartedProgram(rlim_t descriptors) {
@@ -609,13 +615,13 @@
     StartedProgram(const StartedProgram&) = delete;
     StartedProgram& operator=(const StartedProgram&) = delete;
 
-    void allow(rlim_t descriptors) const {  // in the child itself: 0, its own
+    void allow(rlim_t descriptors) const {  // the child's limit, or in the child (pid 0) its own
         rlimit limit{};
         ::prlimit(child_, RLIMIT_NOFILE, nullptr, &limit);
         limit.rlim_cur = descriptors;
         ::prlimit(child_, RLIMIT_NOFILE, &limit, nullptr);
     }
-    /// Whether it logs that before it ends, within 10 s.
+    /// Returns whether the program logs the text within 10 s and before it ends.
     bool logs(const std::string& text) {
         const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
         while (logged_.find(text) == std::string::npos) {
@@ -648,10 +654,10 @@
 };
 
 #ifndef __SANITIZE_ADDRESS__
-// Enough for reading the configuration, but not for all that it opens after that. Not in a sanitized build:
-// the check of virtual tables opens a pipe to find out what it may read, and without descriptors it takes
-// sound objects for faults.
-TEST(Starting, NoDescriptorForAWhile_startsOnceThereIsOne) {
+// The descriptors suffice to read the configuration, but not for the files and sockets opened later. Excluded
+// from sanitized builds: their check of virtual tables opens a pipe to probe memory, and without descriptors
+// it reports valid objects as faults.
+TEST(Starting, DescriptorShortage_startsOnceDescriptorsAreAvailable) {
     for (const rlim_t descriptors : {4, 7, 8}) {
         StartedProgram program(descriptors);
         EXPECT_TRUE(program.logs("start.put_off")) << program.logged();
