--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+/// The initial limit, which is also the highest.
 constexpr double kInitialLimit = 1000;
 /// The relative change of the limit per millisecond and per unit of relative latency off the target.
 constexpr double kAdjustmentRate = 0.004;
@@ -89,14 +90,14 @@
 }
 
 void AdmissionController::record_relative_latency(double relative_latency, Millis now) {
-    const Millis since = std::min(now - relative_latency_.known_at(), kMaxAdjustmentTime);
+    const Millis elapsed = std::min(now - relative_latency_.known_at(), kMaxAdjustmentTime);
     relative_latency_.add(relative_latency, now, kRateWindow);
     const double above_target = relative_latency_.value() - kTargetRelativeLatency;
     // With few samples the mean lies above the target by chance at times. Lowering the limit each time would
     // keep a sidecar with little traffic below the target latency, so the standard error is subtracted.
     const double deviation =
         above_target < 0 ? above_target : std::max(0.0, above_target - relative_latency_.error());
-    const double factor = std::exp(-kAdjustmentRate * deviation * since);
+    const double factor = std::exp(-kAdjustmentRate * deviation * elapsed);
     if (factor < 1) {
         const double in_flight = std::max(mean_in_flight_, in_flight_ + 1.0);
         const double lowered = std::min(limit_, 2 * in_flight) * factor;
--- a/src/policy/admission_controller.hpp
+++ b/src/policy/admission_controller.hpp
@@ -39,8 +39,7 @@
     bool is_hopeless(const Request& request, Millis now) const;
 
     /// Lowers the limit if the number of warm servers has dropped sharply, e.g. after the loss of a zone. All
-    /// requests then go to the remaining servers at once, and the latency of late responses would lower the
-    /// limit too late.
+    /// requests then go to the remaining servers at once, and late responses would lower the limit too late.
     void refresh_capacity(Millis now);
 
     /// Updates the means of the attempts in flight. Must be called before their number changes or the means
--- a/src/policy/discovery_backoff.cpp
+++ b/src/policy/discovery_backoff.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// A change of the list counts as notified 6 s after discovery has the change and can be reached. A wait of at
-// most 1.5 s meets this limit even if one call hangs: 1.5 s until the next call, 2 s until that call times
-// out, 0.3 s until the call after it, and 2 s until discovery handles that call.
-constexpr Millis kCeiling = 1500;
+/// A change of the list counts as notified 6 s after discovery has the change and can be reached. A wait of
+/// at most 1.5 s meets this limit even if one call hangs: 1.5 s until the next call, 2 s until that call
+/// times out, 0.3 s until the call after it, and 2 s until discovery handles that call.
+constexpr Millis kWaitCeiling = 1500;
 /// The longest wait as a share of the time for which calls have been failing. Once the 6 s have passed,
 /// discovery cannot answer all calls of a large fleet in time, so the calls are spread over a longer time.
 constexpr double kShareOfFailingTime = 0.25;
@@ -30,8 +30,8 @@
 }  // namespace
 
 DiscoveryBackoff::DiscoveryBackoff(std::uint32_t fleet_size)
-    : min_ceiling_(std::min(kMinCeilingPerSidecar * fleet_size, kCeiling)),
-      max_ceiling_(std::clamp(kMaxCeilingPerSidecar * fleet_size, kCeiling, kMaxWait)),
+    : min_ceiling_(std::min(kMinCeilingPerSidecar * fleet_size, kWaitCeiling)),
+      max_ceiling_(std::clamp(kMaxCeilingPerSidecar * fleet_size, kWaitCeiling, kMaxWait)),
       next_wait_without_deadline_(kInitialWaitWithoutDeadline) {}
 
 void DiscoveryBackoff::reset() {
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// The success rate below which a server is ejected, as the authors of io.l5d.successRate recommend.
+/// The success rate below which a server is ejected. The value follows the description of io.l5d.successRate
+/// by its authors.
 constexpr double kSuccessThreshold = 0.9;
 /// The number of standard errors by which a server's rate must be below that of the other servers.
 constexpr double kStandardErrors = 3;
@@ -19,7 +20,7 @@
     return result.outcome == Outcome::completed && !result.late;
 }
 
-/// Returns whether the failure points to this server. Late responses and rejections for want of capacity do
+/// Returns whether the failure points to this server. Late responses and rejections for lack of capacity do
 /// not, because they occur at every server when the whole pool is overloaded.
 bool is_server_specific_failure(const OutlierDetector::Result& result) {
     if (result.outcome == Outcome::timed_out) return result.silent;
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -20,7 +20,7 @@
     OutlierDetector(const Settings& settings, EndpointSet& endpoints)
         : settings_(settings), endpoints_(endpoints) {}
 
-    /// The outcome of an attempt, with what the other modules know about it.
+    /// The outcome of an attempt, with the findings of OutcomeRecorder.
     struct Result {
         Outcome outcome = Outcome::completed;
         /// The attempt completed after its latency objective, at a server that is not warming up.
@@ -33,8 +33,8 @@
             return silent || (outcome == Outcome::connect_failed && now < request.deadline);
         }
     };
-    /// Records an attempt's result in the server's window, and ejects or restores the server if the window
-    /// calls for it.
+    /// Records an attempt's result in the server's window. Ejects the server, restores it, or makes the
+    /// request's class avoid it if the result requires that.
     void record(Endpoint& endpoint, const Request& request, const Attempt& attempt, const Result& result,
                 Millis now, std::vector<Action>& actions);
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -34,8 +34,8 @@
     const std::optional<double> rate_of_kind = survey_.rate_of(endpoint.info.kind);
     // While its responses are quick, the server is sent most of what would overload it; otherwise it is sent
     // only its share. A kind without a warm server has no measured rate, so the mean rate of all kinds
-    // applies. At its plain share of that mean, the server is safe unless its kind is slower than the mean by
-    // the whole overload multiple.
+    // applies. At its plain share of that mean, the server is not overloaded unless its kind is slower than
+    // the mean by the full overload multiple.
     const bool is_limited_to_share =
         latencies_.expected_warming_up(endpoint, now) > kTargetRelativeLatency || !rate_of_kind;
     const double multiple =
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -17,7 +17,7 @@
 /// starve other tenants. Without overload nothing changes.
 class TenantQuotas {
 public:
-    /// @param settings  must outlive this.
+    /// @param settings  must outlive this object.
     explicit TenantQuotas(const Settings& settings)
         : settings_(settings), requests_(settings.tenant_quotas.size(), DecayingSum{kWindow}) {}
 
