--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -39,7 +39,7 @@
     testing::Test::RecordProperty("completed_" + run, std::to_string(fleet.completed_share()));
     EXPECT_LE(worst.ratio, 1) << what << ", " << balancers << " balancers, seed " << seed << ": "
                               << worst.sent << " requests sent, " << worst.allowed
-                              << " allowed, in the window from " << worst.from << " ms";
+                              << " allowed; start of the window in ms: " << worst.from;
     EXPECT_GT(fleet.sent_to_warming_up(), kLeastSent) << "servers that are warming up need requests too";
 }
 
--- a/tests/support/policy_harness.cpp
+++ b/tests/support/policy_harness.cpp
@@ -98,7 +98,7 @@
         end_numbered_attempt(id, number, outcome);
         return;
     }
-    FAIL() << "request " << id << " has no attempt in flight";
+    FAIL() << "no attempt in flight for request " << id;
 }
 
 void PolicyHarness::end_numbered_attempt(RequestId id, std::uint32_t number, Outcome outcome) {
--- a/tests/support/policy_traffic.cpp
+++ b/tests/support/policy_traffic.cpp
@@ -48,7 +48,7 @@
 ServerId run_request(PolicyHarness& harness, Outcome outcome, Millis after, std::uint32_t class_index) {
     const RequestId id = harness.start_request(class_index);
     if (!harness.is_in_flight(id)) {
-        ADD_FAILURE() << "no attempt was sent for request " << id;
+        ADD_FAILURE() << "no attempt was sent";
         return 0;
     }
     const ServerId server = harness.server_of(id);
