--- a/tests/support/policy_harness.hpp
+++ b/tests/support/policy_harness.hpp
@@ -103,7 +103,7 @@
     std::vector<RequestId> start_requests(int count, Millis time_left = kDefaultTimeLeft,
                                           bool are_retries = false);
 
-    /// The client of a request goes away.
+    /// Delivers the disconnection of a request's client.
     void disconnect_client(RequestId id);
 
     /// Advances the clock by `after` and ends the first attempt in flight of a request. Fails the test if the
