--- a/src/node/overdue_sweep.cpp
+++ b/src/node/overdue_sweep.cpp
@@ -17,7 +17,7 @@
                            TimeOut time_out)
     : clock_(clock), requests_(requests), time_out_(std::move(time_out)), timer_(io) {}
 
-void OverdueSweep::suspect_all() {
+void OverdueSweep::watch_all() {
     for (const auto& [id, request] : requests_.all()) last_suspect_ = std::max(last_suspect_, id);
 }
 
--- a/src/node/overdue_sweep.hpp
+++ b/src/node/overdue_sweep.hpp
@@ -24,7 +24,7 @@
                  TimeOut time_out);
 
     /// Something has failed: all requests held are suspect. schedule() has to follow.
-    void suspect_all();
+    void watch_all();
     /// Begins, or goes on, to look at the suspect requests.
     void schedule();
 
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -213,7 +213,7 @@
 
 // Where there is no memory for the sweep either, the next failure begins it.
 void Sidecar::handle_failure() {
-    overdue_sweep_.suspect_all();
+    overdue_sweep_.watch_all();
     try {
         overdue_sweep_.schedule();
         if (listener_) listener_->resume_accepting();
--- a/tests/sidecar_parts_test.cpp
+++ b/tests/sidecar_parts_test.cpp
@@ -68,7 +68,7 @@
     Request& streaming = requests.add(3);
     streaming.deadline = clock.now();
     streaming.attempts.push_back({0, 1, clock.now(), true, clock.now()});
-    sweep.suspect_all();
+    sweep.watch_all();
     requests.add(4).deadline = clock.now();
     sweep.schedule();
     io.run();  // until no suspect is left
