--- a/src/node/request_forwarder.cpp
+++ b/src/node/request_forwarder.cpp
@@ -20,8 +20,8 @@
     RequestArrived event;
     event.id = incoming.id;
     event.class_index = site.class_index(incoming.class_name);
-    // What is not a request of a class served here is answered here: no server has a use for it, and nobody
-    // knows whether it may run twice.
+    // A request of an unknown class, or without the form of its class, is rejected without an attempt. No
+    // server could process it, and it is not known whether it may run more than once.
     const auto& classes = site.settings.classes;
     if (event.class_index >= classes.size())
         return parts_.listener->respond(incoming.id, empty_response(http::status::not_found));
@@ -41,7 +41,8 @@
     admit(event);
 }
 
-// An incomplete request is in flight, and its time begins, with its last byte.
+// Reports a new request to the Balancer. An incomplete request counts as in flight from its last byte on, and
+// its time starts with that byte.
 void RequestForwarder::admit(const RequestArrived& arrival) {
     if (!arrival.body_incomplete) {
         Request& request = *parts_.requests.find(arrival.id);
@@ -66,8 +67,8 @@
     parts_.loop.handle(BodyComplete{id, request->time_left});
 }
 
-// Nothing more goes out for the request from here on, whatever is due. Most clients leave at their deadline:
-// what has timed out by then is not cancelled by them.
+// Marks the request as ended first, so that no retry or timer sends another attempt for it. Most clients
+// disconnect at their deadline, so attempts past the deadline are recorded as timed out, not as cancelled.
 void RequestForwarder::on_client_disconnected(RequestId id) {
     Request* const request = parts_.requests.find_open(id);
     if (request == nullptr) return;
@@ -90,7 +91,7 @@
 }
 
 void RequestForwarder::time_out(RequestId id) {
-    give_response(id, empty_response(http::status::gateway_timeout));
+    send_response(id, empty_response(http::status::gateway_timeout));
     on_client_disconnected(id);
 }
 
@@ -98,11 +99,11 @@
     Request* const request = parts_.requests.find_open(id);
     if (request == nullptr) return;
     request->has_ended = true;
-    give_response(id, std::move(response));
+    send_response(id, std::move(response));
     parts_.requests.forget_if_done(id);
 }
 
-void RequestForwarder::give_response(RequestId id, DownstreamListener::Response response) {
+void RequestForwarder::send_response(RequestId id, DownstreamListener::Response response) {
     parts_.in_flight.set_outcome(id, parts_.requests.at(id).class_index,
                                  outcome_of_status(response.result_int()));
     parts_.listener->respond(id, std::move(response));
@@ -129,7 +130,7 @@
     UpstreamPool::Request outgoing;
     outgoing.message = forwarded_head(*request.head);
     outgoing.may_begin = [this, send](UpstreamPool::RequestHead& head) { return may_begin(send, head); };
-    outgoing.still_wanted = [this, id = send.id] { return !parts_.listener->has_client_left(id); };
+    outgoing.may_continue = [this, id = send.id] { return !parts_.listener->has_client_left(id); };
     return outgoing;
 }
 
@@ -159,10 +160,11 @@
     return send.deadline > 0 ? std::min(send.deadline, request.deadline) : request.deadline;
 }
 
-// Asked right before a first byte goes out: when the server is chosen, and again when a connection has come
-// up. If the client has left by then, or the server is draining, or it is too late, nothing is sent. The head
-// states the time left by the same reading of the clock, rounded down. The time of an incomplete body counts
-// from its last byte, which may have arrived unread.
+// Decides whether the request may still be sent. Called when the server is chosen, and again when a
+// connection has been established. Nothing is sent if the client has left, the server is draining, or the
+// time is over. The time left is written to the head from the same clock reading, rounded down to whole
+// milliseconds. The time of an incomplete request starts with its last byte, which may have arrived but not
+// been read yet; the time for which bytes may have been unread is therefore subtracted.
 bool RequestForwarder::may_begin(const SendAttempt& send, UpstreamPool::RequestHead& head) {
     const Request* const request = parts_.requests.find_open(send.id);
     if (request == nullptr || !parts_.endpoints.contains(send.server)) return false;
@@ -195,7 +197,7 @@
     if (request == nullptr) return;
     Attempt& attempt = request->attempts[key.attempt];
     if (!attempt.in_flight) return;
-    if (request->has_ended) {  // nobody waits for it
+    if (request->has_ended) {  // The client has its response or has left.
         parts_.upstream.cancel(attempt.exchange);
         return end_attempt(key, Outcome::completed);
     }
@@ -205,8 +207,9 @@
     parts_.listener->stream_response(key.request, std::move(head), std::move(body));
 }
 
-// The duration is the server's: from the request's last byte to the first byte that is forwarded, or to the
-// last byte of a response that is forwarded at once.
+// The reported duration measures the server only. It starts with the sending of the attempt, or with the last
+// byte of the request if that arrived later, and ends with the first byte of a streamed response or with the
+// last byte of a buffered one.
 void RequestForwarder::end_attempt(const AttemptKey& key, Outcome outcome, UpstreamPool::Response response) {
     Request* const request = parts_.requests.find(key.request);
     if (request == nullptr) return;
@@ -219,7 +222,7 @@
     if (request->body && !request->body->is_retained() && !request->has_ended)
         parts_.loop.handle(BodyDiscarded{key.request});
     const ServerId server = attempt.server;
-    // A server's verdict on the request is the client's response, also that it can't be served.
+    // A 4xx from the server (invalid_request) is also forwarded to the client as the final response.
     const bool is_final = outcome == Outcome::completed || outcome == Outcome::invalid_request;
     if (attempt.has_response_started()) {
         request->has_ended = true;
@@ -228,7 +231,7 @@
         DownstreamListener::Response forwarded = forwarded_response(std::move(response));
         request->has_ended = true;
         event.request_ended = true;
-        give_response(key.request, std::move(forwarded));
+        send_response(key.request, std::move(forwarded));
     }
     parts_.requests.forget_if_done(key.request);
     parts_.endpoints.remove_attempt(server);
@@ -256,8 +259,10 @@
     });
 }
 
-// Settings may forbid to withdraw what a server has received completely; that runs on. What it has not, must
-// not be completed any more, and what can't end without the client is not left to time out.
+// Cancels the attempts that must not continue after the client has left. An attempt whose request has been
+// sent completely continues, because the settings may forbid its cancellation. An incomplete request must not
+// be completed any more. A streamed response cannot end without a client that reads it, and would only time
+// out.
 void RequestForwarder::stop_attempts_without_client(RequestId id, std::size_t count) {
     for_each_in_flight(id, count, [this](const AttemptKey& key, const Attempt& attempt) {
         const bool may_have_started = parts_.upstream.may_have_started(attempt.exchange);
@@ -267,7 +272,8 @@
     });
 }
 
-// The work may end attempts, and with the last one of them the request is forgotten.
+// Calls `work` for each attempt in flight. The request is looked up before each call because `work` may end
+// attempts, and the request is erased with its last attempt.
 template <class Work>
 void RequestForwarder::for_each_in_flight(RequestId id, std::size_t count, Work work) {
     for (std::uint32_t number = 0; number < count; ++number) {
--- a/src/node/request_forwarder.hpp
+++ b/src/node/request_forwarder.hpp
@@ -20,7 +20,7 @@
 
 namespace mothring::node {
 
-/// What the forwarder works with; all of it must outlive the forwarder.
+/// References to the objects that the forwarder uses; they must outlive the forwarder.
 struct RequestForwarderParts {
     const config::Config& config;
     const net::Clock& clock;
@@ -30,34 +30,38 @@
     EndpointDirectory& endpoints;
     UpstreamPool& upstream;
     const GracefulShutdown& shutdown;
-    /// Present whenever there is a request.
+    /// Must hold a value while the table contains a request.
     std::optional<DownstreamListener>& listener;
 };
 
-/// Reports what happens to requests and their attempts as events, and carries out the actions on them. The
-/// forwarder decides nothing but what can be told only when a request is sent.
+/// Reports events of requests and attempts to the Balancer, and executes the Balancer's actions on them. The
+/// Balancer makes all decisions except the final check right before a request is sent.
 class RequestForwarder {
 public:
     explicit RequestForwarder(const RequestForwarderParts& parts) : parts_(parts) {}
 
-    /// A request has arrived; its body may be incomplete.
+    /// Handles a new request, whose body may be incomplete.
     void on_request(DownstreamListener::IncomingRequest incoming);
-    /// The last byte of a request has arrived.
+    /// Handles the last byte of a request that was incomplete on arrival.
     void on_body_complete(RequestId id);
-    /// The client of a request has closed its connection.
+    /// Handles the disconnection of a request's client.
     void on_client_disconnected(RequestId id);
-    /// The time of an attempt is over. One whose response has begun goes on as long as it comes.
+    /// Times out an attempt at its deadline. An attempt whose response is being streamed continues.
     void on_attempt_deadline(const AttemptDeadline& deadline);
 
+    /// Sends a request to a server.
     void send(const SendAttempt& send);
+    /// Cancels an attempt.
     void cancel(const CancelAttempt& cancel);
+    /// Responds with 503, and with Retry-After if the action states one.
     void reject(const RejectRequest& rejected);
+    /// Responds with 502, or with 504 if the deadline of the request has passed.
     void fail(const FailRequest& failed);
-    /// Ends a request that is past its deadline, with its attempts.
+    /// Responds with 504 to a request that is past its deadline, and ends its attempts.
     void time_out(RequestId id);
 
 private:
-    /// Names an attempt.
+    /// Identifies an attempt.
     struct AttemptKey {
         RequestId request = 0;
         std::uint32_t attempt = 0;
@@ -65,7 +69,7 @@
 
     void admit(const RequestArrived& arrival);
     void respond(RequestId id, DownstreamListener::Response response);
-    void give_response(RequestId id, DownstreamListener::Response response);
+    void send_response(RequestId id, DownstreamListener::Response response);
 
     UpstreamPool::Request upstream_request(const SendAttempt& send, const Request& request);
     void start_exchange(const SendAttempt& send, Request& request, UpstreamPool::Request outgoing);
@@ -77,9 +81,9 @@
                              std::shared_ptr<net::BodyBuffer> body);
     void end_attempt(const AttemptKey& key, Outcome outcome, UpstreamPool::Response response = {});
     void time_out_attempt(const AttemptKey& key);
-    /// Of the first `count` attempts, those whose response has not begun.
+    /// Times out those of the first `count` attempts whose response has not started.
     void time_out_attempts(RequestId id, std::size_t count);
-    /// Of the first `count` attempts, those that must not or can't be completed without the client.
+    /// Cancels those of the first `count` attempts that must not or cannot be completed without the client.
     void stop_attempts_without_client(RequestId id, std::size_t count);
     template <class Work>
     void for_each_in_flight(RequestId id, std::size_t count, Work work);
--- a/src/node/upstream_connection.cpp
+++ b/src/node/upstream_connection.cpp
@@ -24,21 +24,21 @@
     ++stats_->open;
 }
 
-void UpstreamConnection::carry(ExchangeId id, UpstreamRequest request,
-                               UpstreamExchange::Callbacks callbacks) {
+void UpstreamConnection::start_exchange(ExchangeId id, UpstreamRequest request,
+                                        UpstreamExchange::Callbacks callbacks) {
     const auto exchange =
         std::make_shared<UpstreamExchange>(shared_from_this(), id, std::move(request), std::move(callbacks));
     exchange_ = exchange;
     if (!is_connected_) return;
-    expire_never();
-    exchange->writer().begin();
+    clear_timeout();
+    exchange->writer().start();
 }
 
 void UpstreamConnection::connect(const net::Tcp::endpoint& address) {
-    expire_after(limits().connect_timeout);
+    set_timeout(limits().connect_timeout);
     error_code error;
     socket_.open(address.protocol(), error);
-    if (error) {  // out of descriptors
+    if (error) {  // The process has no free descriptor.
         asio::post(socket_.get_executor(), [self = shared_from_this()] {
             if (self->exchange_) self->end_exchange(ConnectionUse::closed, Outcome::not_sent, {});
         });
@@ -50,38 +50,39 @@
 }
 
 void UpstreamConnection::on_connected(error_code failed) {
-    if (!failed && is_never_connected()) failed = asio::error::try_again;
+    if (!failed && is_not_established()) failed = asio::error::try_again;
     if (failed || !exchange_) return on_connect_failed(failed);
     is_connected_ = true;
-    expire_never();
+    clear_timeout();
     error_code ignored;
     socket_.non_blocking(true, ignored);
     socket_.set_option(net::Tcp::no_delay(true), ignored);
     wait_readable();
-    // Much may have happened since the server was chosen.
+    // The client may have left or the server may have started to drain while the connection was established.
     const auto exchange = exchange_;
     UpstreamRequest& request = exchange->request();
-    if (!request.may_begin || request.may_begin(request.message)) return exchange->writer().begin();
+    if (!request.may_begin || request.may_begin(request.message)) return exchange->writer().start();
     if (exchange_) end_exchange(ConnectionUse::reused, Outcome::not_sent, {});
 }
 
-/// Asio takes EAGAIN for a connection that is being established, and the first look at it for its success. A
-/// connection that has been established, and has ended, is shut down for reading too.
-bool UpstreamConnection::is_never_connected() {
+/// Returns whether the socket has no connection although Asio reported that it was established. Asio treats
+/// EAGAIN from connect() as a connection in progress and reports success at its first poll. Such a socket
+/// shows POLLHUP without POLLRDHUP; a connection that was established and then closed shows both.
+bool UpstreamConnection::is_not_established() {
     const short events = net::poll_events(socket_.native_handle(), POLLRDHUP);
     return (events & POLLHUP) != 0 && (events & POLLRDHUP) == 0;
 }
 
-/// Only what is the server's fault counts against it.
+/// Ends the exchange. A local failure is reported as not_sent, so that it does not count against the server.
 void UpstreamConnection::on_connect_failed(error_code why) {
     if (!exchange_) return close();
     const Outcome outcome = net::is_local_failure(why) ? Outcome::not_sent : Outcome::connect_failed;
     end_exchange(ConnectionUse::closed, outcome, {});
 }
 
-void UpstreamConnection::rest() {
+void UpstreamConnection::become_idle() {
     idle_since_ = std::chrono::steady_clock::now();
-    expire_after(limits().idle_timeout);
+    set_timeout(limits().idle_timeout);
     wait_readable();
 }
 
@@ -96,7 +97,7 @@
 
 bool UpstreamConnection::cancel() {
     const auto exchange = std::exchange(exchange_, nullptr);
-    const auto streamed_body = exchange ? exchange->release() : nullptr;
+    const auto streamed_body = exchange ? exchange->detach_bodies() : nullptr;
     close();
     if (streamed_body) streamed_body->mark_truncated();
     return exchange && exchange->writer().is_written();
@@ -112,16 +113,16 @@
     timer_.cancel();
 }
 
-void UpstreamConnection::expire_after(Millis length) {
+void UpstreamConnection::set_timeout(Millis length) {
     timer_.expires_after(net::to_duration(length));
     timer_.async_wait([weak = weak_from_this(), due = timer_.expiry()](error_code cancelled) {
         const auto self = weak.lock();
         if (cancelled || !self) return;
-        if (self->timer_.expiry() == due && self->is_open()) self->on_expired();
+        if (self->timer_.expiry() == due && self->is_open()) self->on_timeout();
     });
 }
 
-void UpstreamConnection::on_expired() {
+void UpstreamConnection::on_timeout() {
     if (is_connected_ && exchange_)
         exchange_->reader().on_timeout();
     else if (exchange_)
@@ -136,19 +137,19 @@
     socket_.async_wait(net::Tcp::socket::wait_read, [self = shared_from_this()](error_code failed) {
         self->is_waiting_readable_ = false;
         if (!self->is_open()) return;
-        // It has ended, or sends what nobody asked for.
+        // An idle connection has been closed by the server, or the server has sent unsolicited bytes.
         if (failed || !self->exchange_) return self->close();
         self->exchange_->reader().read();
     });
 }
 
-/// Whoever reads a streamed response learns of its end last: it may end the client, and all that belongs to
-/// it.
+/// The body of a streamed response is marked as ended after everything else, because that can close the
+/// client's connection and detach_bodies the objects that belong to it.
 void UpstreamConnection::end_exchange(ConnectionUse use, Outcome outcome, UpstreamResponse response) {
     const auto self = shared_from_this();
     Owner* const owner = owner_;
     const auto exchange = std::exchange(exchange_, nullptr);
-    const auto streamed_body = exchange->release();
+    const auto streamed_body = exchange->detach_bodies();
     received_.shrink_to_fit();
     if (use == ConnectionUse::reused)
         owner->on_reusable(self);
--- a/src/node/upstream_connection.hpp
+++ b/src/node/upstream_connection.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One connection to a server: connecting, carrying an exchange, or idle.
+/// A connection to a server.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,38 +19,40 @@
 
 namespace mothring::node {
 
-/// The limits of a pool and of its connections.
+/// Limits of a pool and of its connections.
 struct UpstreamLimits {
     static constexpr Millis kConnectTimeout = 250;
     static constexpr Millis kIdleTimeout = 14000;
     static constexpr std::size_t kMaxConnections = 512;
     static constexpr Millis kBufferingTime = 50;
-    static constexpr Millis kRestAfterResponse = 10;
+    static constexpr Millis kReuseDelay = 10;
 
-    /// Until a connection has to be established.
+    /// Time within which a connection must be established.
     Millis connect_timeout = kConnectTimeout;
-    /// A connection that has been idle for longer is not used any more.
+    /// Time after which an idle connection is closed.
     Millis idle_timeout = kIdleTimeout;
-    /// Open at once, to all servers.
+    /// Largest number of connections that are open at the same time, over all servers.
     std::size_t max_connections = kMaxConnections;
-    /// A response of unknown length is buffered for a retry at most so long.
+    /// Time for which a response of unknown length is buffered, so that the request can be retried, before it
+    /// is streamed.
     Millis buffering_time = kBufferingTime;
-    /// A connection is not used again for so long after a response. A second response that nobody asked for
-    /// comes some milliseconds late, and nothing in it tells which request it belongs to.
-    Millis rest_after_response = kRestAfterResponse;
+    /// Time between a response and the next request on the same connection. An unsolicited second response
+    /// arrives a few milliseconds after the first, and HTTP/1.1 has no field that shows which request a
+    /// response belongs to.
+    Millis reuse_delay = kReuseDelay;
 };
 
-/// The connections and attempts of a pool.
+/// Counters of a pool.
 struct UpstreamStats {
-    /// Connections open now.
+    /// Number of connections that are open.
     std::size_t open = 0;
-    /// Connections opened so far.
+    /// Number of connections opened since the start.
     std::size_t opened = 0;
-    /// Attempts sent completely so far.
+    /// Number of attempts whose request has been sent completely.
     std::uint64_t attempts = 0;
 };
 
-/// What all connections of a pool share.
+/// Resources that all connections of a pool share.
 struct UpstreamResources {
     boost::asio::io_context& io;
     UpstreamLimits limits;
@@ -58,20 +60,22 @@
     std::shared_ptr<UpstreamStats> stats = std::make_shared<UpstreamStats>();
 };
 
-/// Carries one exchange at a time. It always waits to be readable, so that it learns of its end while idle;
-/// it reads only while it carries an exchange.
+/// Sends requests to a server and receives the responses, one exchange at a time. The connection waits for
+/// its socket to become readable also while it is idle, which detects that the server has closed it. It reads
+/// only during an exchange.
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
 public:
-    /// Bytes received at a time before the body of a response has begun.
+    /// Largest number of bytes per read before the body of a response.
     static constexpr std::size_t kHeadReadSize = 4 * 1024;
 
-    /// The pool, which outlives the open connections.
+    /// Interface of the pool, which must outlive the open connections.
     class Owner {
     public:
-        /// An exchange has left the connection reusable.
+        /// Called when an exchange has ended and the connection can carry another one.
         virtual void on_reusable(const std::shared_ptr<UpstreamConnection>& connection) = 0;
+        /// Called when the connection is about to be closed.
         virtual void on_closed(const UpstreamConnection& connection) = 0;
-        /// Called after on_reusable() or on_closed().
+        /// Called when an exchange has ended, after on_reusable() or on_closed().
         virtual void on_exchange_ended(const UpstreamExchange& exchange, Outcome outcome,
                                        UpstreamResponse response) = 0;
 
@@ -80,7 +84,7 @@
     };
 
     /// @param resources  must outlive the connection while it is open.
-    /// @param incarnation  of the server, as counted by the owner.
+    /// @param incarnation  number that the owner has given to the server's process.
     UpstreamConnection(Owner& owner, const UpstreamResources& resources, ServerId server,
                        std::uint64_t incarnation);
     ~UpstreamConnection() { close(); }
@@ -90,54 +94,59 @@
     ServerId server() const { return server_; }
     std::uint64_t incarnation() const { return incarnation_; }
 
-    /// Takes an exchange; its request is sent once the connection is established.
-    void carry(ExchangeId id, UpstreamRequest request, UpstreamExchange::Callbacks callbacks);
+    /// Starts an exchange. The request is sent as soon as the connection is established.
+    void start_exchange(ExchangeId id, UpstreamRequest request, UpstreamExchange::Callbacks callbacks);
+    /// Starts to establish the connection.
     void connect(const net::Tcp::endpoint& address);
 
-    /// Begins to be idle.
-    void rest();
-    /// Whether nothing has come since the connection became idle, not even its end, and it has not been idle
-    /// for too long.
+    /// Marks the connection as idle and starts the idle time-out.
+    void become_idle();
+    /// Returns whether the idle connection can carry another exchange: it is still open, has received no
+    /// bytes since it became idle, and has been idle for less than the idle time-out.
     bool is_usable();
     std::chrono::steady_clock::time_point idle_since() const { return idle_since_; }
 
-    /// Whether the first byte of the request may have been sent.
-    bool may_have_started() const { return exchange_ && exchange_->writer().has_begun(); }
-    /// Whether the last byte of the request has been handed to the kernel.
+    /// Returns whether the first byte of the request may have been sent.
+    bool may_have_started() const { return exchange_ && exchange_->writer().has_started(); }
+    /// Returns whether the complete request has been handed to the kernel.
     bool is_written() const { return exchange_ && exchange_->writer().is_written(); }
 
-    /// Cancels the exchange without calling OnExchangeEnded, and closes the connection.
+    /// Cancels the exchange without a call of OnExchangeEnded, and closes the connection.
     /// @return whether the complete request had been written.
     bool cancel();
     void close();
     bool is_open() const { return owner_ != nullptr; }
 
-    // ---- For the exchange that it carries ----
+    // ---- For the current exchange ----
 
     net::Tcp::socket& socket() { return socket_; }
-    /// Received and not parsed yet.
+    /// Returns the buffer of received bytes that have not been parsed.
     boost::beast::flat_buffer& received() { return received_; }
     const UpstreamLimits& limits() const { return resources_.limits; }
     const std::shared_ptr<net::BufferBudget>& budget() const { return resources_.budget; }
 
-    /// Sets the timer, which reports to the exchange.
-    void expire_after(Millis length);
-    void expire_never() { timer_.expires_at(boost::asio::steady_timer::time_point::max()); }
+    /// Sets the timer. Its expiry fails the exchange if the connection is not established, closes the
+    /// connection if it is idle, and is passed to the exchange's reader otherwise.
+    void set_timeout(Millis length);
+    /// Stops the timer.
+    void clear_timeout() { timer_.expires_at(boost::asio::steady_timer::time_point::max()); }
 
-    /// Resumes reading once there is something to read.
+    /// Waits until the socket is readable, then continues reading.
     void wait_readable();
     bool is_waiting_readable() const { return is_waiting_readable_; }
 
+    /// Counts an attempt whose request has been sent completely.
     void count_attempt() { ++stats_->attempts; }
+    /// Ends the exchange, passes the connection back to the pool or closes it, and reports the outcome.
     void end_exchange(ConnectionUse use, Outcome outcome, UpstreamResponse response);
 
 private:
     void on_connected(boost::system::error_code failed);
     void on_connect_failed(boost::system::error_code why);
-    bool is_never_connected();
-    void on_expired();
+    bool is_not_established();
+    void on_timeout();
 
-    Owner* owner_;  // null: closed
+    Owner* owner_;  // null if the connection is closed
     const UpstreamResources& resources_;
     const std::shared_ptr<UpstreamStats> stats_;
     const ServerId server_;
@@ -145,7 +154,7 @@
     net::Tcp::socket socket_;
     boost::asio::steady_timer timer_;
     boost::beast::flat_buffer received_{net::kMaxHeaderBytes + kHeadReadSize};
-    std::shared_ptr<UpstreamExchange> exchange_;  // null: idle
+    std::shared_ptr<UpstreamExchange> exchange_;  // null if the connection is idle
     std::chrono::steady_clock::time_point idle_since_;
     bool is_connected_ = false;
     bool is_waiting_readable_ = false;
--- a/src/node/upstream_exchange.cpp
+++ b/src/node/upstream_exchange.cpp
@@ -15,7 +15,7 @@
       writer_(*this),
       reader_(*this) {}
 
-bool UpstreamExchange::is_under_way() const { return !is_ended_ && connection_->is_open(); }
+bool UpstreamExchange::is_in_progress() const { return !is_ended_ && connection_->is_open(); }
 
 void UpstreamExchange::fail(bool may_have_run) {
     end(ConnectionUse::closed, may_have_run ? Outcome::connection_lost : Outcome::connect_failed, {});
@@ -25,10 +25,10 @@
     connection_->end_exchange(use, outcome, std::move(response));
 }
 
-std::shared_ptr<net::BodyBuffer> UpstreamExchange::release() {
+std::shared_ptr<net::BodyBuffer> UpstreamExchange::detach_bodies() {
     is_ended_ = true;
     if (request_.body) request_.body->on_readable = nullptr;
-    return reader_.release();
+    return reader_.release_body();
 }
 
 }  // namespace mothring::node
--- a/src/node/upstream_exchange.hpp
+++ b/src/node/upstream_exchange.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One request to a server and its response, from the first byte to the outcome.
+/// A request to a server and its response.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -23,40 +23,42 @@
 using UpstreamResponse = boost::beast::http::response<boost::beast::http::string_body>;
 using UpstreamResponseHead = boost::beast::http::response<boost::beast::http::empty_body>;
 
-/// What is sent to a server.
+/// A request to be sent to a server.
 struct UpstreamRequest {
     /// The request without its body.
     UpstreamRequestHead message;
-    /// The body, unread from its start; the rest of it may be yet to come. Null: there is none.
+    /// The body, of which no byte has been read yet and which may still be incomplete. Null if the request
+    /// has no body.
     std::shared_ptr<net::BodyBuffer> body;
-    /// An attempt at a client's request, not a health check.
+    /// True for an attempt at a client's request, false for a health check.
     bool is_attempt = true;
-    /// Called once the connection is established, before the first byte is sent; completes the head by what
-    /// is known only then. False: the request is not sent after all. Null: it is sent as it stands.
+    /// Called when the connection has been established, before the first byte is sent. It may set header
+    /// fields, and returns whether the request may be sent. If null, the request is sent unchanged.
     std::function<bool(UpstreamRequestHead&)> may_begin = nullptr;
-    /// Called before more is sent after the server had stopped reading for a while. False: nothing more is
-    /// sent, and the caller cancels the exchange. Null: all of it is sent.
-    std::function<bool()> still_wanted = nullptr;
+    /// Called before sending resumes after the socket was not writable. Returns whether sending may continue;
+    /// if it returns false, the caller must cancel the exchange. If null, sending always continues.
+    std::function<bool()> may_continue = nullptr;
 };
 
-/// Called once, never from within UpstreamPool::start(). The response is complete where the outcome is
-/// Outcome::completed and it was not streamed.
+/// Called once when an exchange ends, never from within UpstreamPool::start(). The response holds the
+/// complete response if the outcome is Outcome::completed and the response was not streamed.
 using OnExchangeEnded = std::function<void(Outcome, UpstreamResponse)>;
 
-/// Called with the head and the body of a 200 that is streamed; the body ends as the exchange does. Without
-/// this callback a response that is too long to be buffered counts as none.
+/// Called with the head and the body of a 200 response that is streamed. The body is marked as complete or
+/// truncated when the exchange ends. Without this callback a response that is too long to be buffered fails
+/// the exchange.
 using OnUpstreamResponseStarted = std::function<void(UpstreamResponseHead, std::shared_ptr<net::BodyBuffer>)>;
 
-/// What becomes of the connection at the end of its exchange.
+/// What happens to the connection when its exchange ends.
 enum class ConnectionUse {
-    reused,  ///< It is idle until the next exchange.
-    closed   ///< It can't be used any more.
+    reused,  ///< The connection stays open and becomes idle.
+    closed   ///< The connection is closed.
 };
 
-/// Holds the state of one exchange, and keeps its connection alive.
+/// Holds the state of an exchange and keeps its connection alive.
 class UpstreamExchange : public std::enable_shared_from_this<UpstreamExchange> {
 public:
-    /// What the exchange is told about.
+    /// Callbacks to the caller of UpstreamPool::start().
     struct Callbacks {
         OnExchangeEnded on_ended;
         /// May be null.
@@ -74,20 +76,22 @@
     const UpstreamRequestWriter& writer() const { return writer_; }
     UpstreamResponseReader& reader() { return reader_; }
 
-    /// Whether the exchange has its outcome, or has been cancelled.
+    /// Returns whether the exchange has ended or has been cancelled.
     bool is_ended() const { return is_ended_; }
-    /// Whether it has not ended, and its connection is open.
-    bool is_under_way() const;
+    /// Returns whether the exchange has not ended and its connection is open.
+    bool is_in_progress() const;
 
     /// Ends the exchange without a response.
-    /// @param may_have_run  the server may have received the complete request.
+    /// @param may_have_run  whether the server may have received the complete request.
     void fail(bool may_have_run);
-    /// Ends the exchange.
+    /// Ends the exchange with an outcome.
     void end(ConnectionUse use, Outcome outcome, UpstreamResponse response);
 
-    /// Detaches the exchange from the bodies that it shares with others; from now on it is ended.
-    /// @return the body of a streamed response, which is still to be finished or failed; null: none.
-    std::shared_ptr<net::BodyBuffer> release();
+    /// Marks the exchange as ended and removes its callbacks from the bodies of the request and the response.
+    /// @return the body of a streamed response, which the caller must mark as complete or truncated; null if
+    /// no
+    ///         response is being streamed.
+    std::shared_ptr<net::BodyBuffer> detach_bodies();
 
 private:
     std::shared_ptr<UpstreamConnection> connection_;
--- a/src/node/upstream_pool.cpp
+++ b/src/node/upstream_pool.cpp
@@ -15,7 +15,7 @@
     : resources_{io, limits, std::move(budget)} {}
 
 UpstreamPool::~UpstreamPool() {
-    for (auto& [id, server] : servers_) drop_idle(server);
+    for (auto& [id, server] : servers_) close_idle(server);
     while (!exchanges_.empty()) cancel(exchanges_.begin()->first);
 }
 
@@ -23,7 +23,7 @@
     Server& server = servers_[id];
     const bool is_same_process = server.address == address && server.started_at == started_at;
     if (server.incarnation != 0 && is_same_process) return;
-    drop_idle(server);
+    close_idle(server);
     server.address = address;
     server.started_at = started_at;
     server.incarnation = next_incarnation_++;
@@ -32,25 +32,26 @@
 void UpstreamPool::forget_server(ServerId id) {
     const auto at = servers_.find(id);
     if (at == servers_.end()) return;
-    drop_idle(at->second);
+    close_idle(at->second);
     servers_.erase(at);
 }
 
 void UpstreamPool::close_idle(ServerId id) {
-    if (const auto at = servers_.find(id); at != servers_.end()) drop_idle(at->second);
+    if (const auto at = servers_.find(id); at != servers_.end()) close_idle(at->second);
 }
 
-void UpstreamPool::drop_idle(Server& server) {
+void UpstreamPool::close_idle(Server& server) {
     for (const ConnectionPtr& connection : std::exchange(server.idle, {})) connection->close();
 }
 
 UpstreamPool::ConnectionPtr UpstreamPool::take_idle(Server& server) {
-    const auto rested_since =
-        std::chrono::steady_clock::now() - net::to_duration(resources_.limits.rest_after_response);
-    // From the back: a connection that closes leaves those before it in their places.
+    const auto idle_before =
+        std::chrono::steady_clock::now() - net::to_duration(resources_.limits.reuse_delay);
+    // The loop runs backwards because a connection that closes is erased from the vector, which changes only
+    // the positions behind it.
     for (std::size_t i = server.idle.size(); i > 0; --i) {
         ConnectionPtr connection = server.idle[i - 1];
-        if (connection->idle_since() > rested_since) continue;
+        if (connection->idle_since() > idle_before) continue;
         if (!connection->is_usable()) {
             connection->close();
             continue;
@@ -61,9 +62,9 @@
     return nullptr;
 }
 
-/// At the limit, closes the connection that has been idle longest.
+/// Closes the connection that has been idle longest if the limit of open connections has been reached.
 /// @return whether another connection may be opened.
-bool UpstreamPool::make_room() {
+bool UpstreamPool::free_connection_slot() {
     if (resources_.stats->open < resources_.limits.max_connections) return true;
     ConnectionPtr oldest;
     for (const auto& [id, server] : servers_) {
@@ -78,7 +79,7 @@
 void UpstreamPool::limit_connections(std::size_t max_connections) {
     resources_.limits.max_connections = max_connections;
     while (resources_.stats->open > max_connections) {
-        if (!make_room()) return;
+        if (!free_connection_slot()) return;
     }
 }
 
@@ -89,8 +90,8 @@
     const bool is_known = server != servers_.end();
     ConnectionPtr connection = is_known ? take_idle(server->second) : nullptr;
     const bool is_new = !connection;
-    if (is_new && (!is_known || !make_room())) {
-        // The shortage of connections is this sidecar's own, and says nothing of the server.
+    if (is_new && (!is_known || !free_connection_slot())) {
+        // The limit is the sidecar's own, so the outcome must not count against the server.
         asio::post(resources_.io, [on_ended = std::move(on_ended)] { on_ended(Outcome::not_sent, {}); });
         return exchange;
     }
@@ -99,7 +100,8 @@
         connection = std::make_shared<UpstreamConnection>(owner, resources_, id, server->second.incarnation);
     }
     exchanges_[exchange] = connection;
-    connection->carry(exchange, std::move(request), {std::move(on_ended), std::move(on_response_started)});
+    connection->start_exchange(exchange, std::move(request),
+                               {std::move(on_ended), std::move(on_response_started)});
     if (is_new) connection->connect(server->second.address);
     return exchange;
 }
@@ -133,7 +135,7 @@
         server != servers_.end() && server->second.incarnation == connection->incarnation();
     if (!is_same_process) return connection->close();
     server->second.idle.push_back(connection);
-    connection->rest();
+    connection->become_idle();
 }
 
 void UpstreamPool::on_closed(const UpstreamConnection& connection) {
--- a/src/node/upstream_pool.hpp
+++ b/src/node/upstream_pool.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The connections to the servers, kept alive between exchanges.
+/// The pool of connections to the servers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,7 +17,8 @@
 
 namespace mothring::node {
 
-/// Gives each exchange a connection: an idle one, or a new one within the limits.
+/// Runs exchanges with servers. Each exchange uses an idle connection or, within the limits, a new one;
+/// connections are kept alive between exchanges.
 class UpstreamPool : private UpstreamConnection::Owner {
 public:
     using RequestHead = UpstreamRequestHead;
@@ -34,26 +35,29 @@
     UpstreamPool(const UpstreamPool&) = delete;
     UpstreamPool& operator=(const UpstreamPool&) = delete;
 
-    /// States where a server listens. Connections to another address, or to a process started at another
-    /// time, are not used again.
+    /// Sets the address and the start time of a server's process. If either differs from the previous value,
+    /// the connections to the previous process are not reused.
     void set_server(ServerId server, const net::Tcp::endpoint& address, Millis started_at);
+    /// Removes a server and closes its idle connections. Exchanges in progress continue.
     void forget_server(ServerId server);
+    /// Closes the idle connections to a server.
     void close_idle(ServerId server);
 
-    /// Starts an exchange. Where there can be no connection it ends with Outcome::not_sent.
+    /// Starts an exchange. It ends with Outcome::not_sent if the server is unknown or the limit of
+    /// connections has been reached.
     ExchangeId start(ServerId server, Request request, OnEnded on_ended,
                      OnResponseStarted on_response_started = nullptr);
-    /// Cancels an exchange; its OnEnded is not called any more.
-    /// @return false where the complete request was certainly never written.
+    /// Cancels an exchange without a call of its OnEnded.
+    /// @return whether the complete request had been written; false also for an unknown exchange.
     bool cancel(ExchangeId exchange);
-    /// Whether the first byte of the request may have been sent.
+    /// Returns whether the first byte of the request may have been sent.
     bool may_have_started(ExchangeId exchange) const;
-    /// Whether the last byte of the request has been handed to the kernel.
+    /// Returns whether the complete request has been handed to the kernel.
     bool is_written(ExchangeId exchange) const;
 
     const Stats& stats() const { return *resources_.stats; }
-    /// Changes how many connections may be open. Of those above the limit the ones idle longest are closed at
-    /// once, the others as their exchanges end.
+    /// Sets the limit of open connections. Idle connections above the limit are closed at once, beginning
+    /// with the one that has been idle longest; busy connections stay open.
     void limit_connections(std::size_t max_connections);
 
 private:
@@ -61,9 +65,9 @@
     struct Server {
         net::Tcp::endpoint address;
         Millis started_at = 0;
-        /// Counted over all servers; 0: not set yet.
+        /// Number of the server's process, unique over all servers; 0 before set_server().
         std::uint64_t incarnation = 0;
-        /// The most recently used last.
+        /// Idle connections; the most recently used one is the last.
         std::vector<ConnectionPtr> idle;
     };
 
@@ -72,8 +76,8 @@
     void on_exchange_ended(const UpstreamExchange& exchange, Outcome outcome, Response response) override;
 
     ConnectionPtr take_idle(Server& server);
-    bool make_room();
-    static void drop_idle(Server& server);
+    bool free_connection_slot();
+    static void close_idle(Server& server);
 
     UpstreamResources resources_;
     std::unordered_map<ServerId, Server> servers_;
--- a/src/node/upstream_request_writer.hpp
+++ b/src/node/upstream_request_writer.hpp
@@ -11,18 +11,19 @@
 
 class UpstreamExchange;
 
-/// Writes a request whose body may be yet to come, and knows at any time how far the request has been sent.
+/// Writes the head of a request and then its body as the body arrives. Records at each step how much of the
+/// request has been sent, because the outcome of a failed attempt depends on it.
 class UpstreamRequestWriter {
 public:
     /// @param exchange  owns this writer.
     explicit UpstreamRequestWriter(UpstreamExchange& exchange) : exchange_(exchange) {}
 
-    /// Starts writing; the connection has to be established.
-    void begin();
+    /// Starts writing. The connection must be established.
+    void start();
 
-    /// Whether the first byte may have been sent.
-    bool has_begun() const { return has_begun_; }
-    /// Whether the last byte has been handed to the kernel.
+    /// Returns whether the first byte may have been sent.
+    bool has_started() const { return has_started_; }
+    /// Returns whether the complete request has been handed to the kernel.
     bool is_written() const { return is_written_; }
 
 private:
@@ -31,13 +32,14 @@
     void write_body();
     void write_body_part(boost::asio::const_buffer part);
     void write(net::WriteStep step, std::size_t body_bytes);
-    void write_when_possible(net::WriteStep step, std::size_t body_bytes);
+    void write_when_writable(net::WriteStep step, std::size_t body_bytes);
     void on_written(std::size_t body_bytes);
 
     UpstreamExchange& exchange_;
-    bool has_begun_ = false;
+    bool has_started_ = false;
     bool is_writing_ = false;
-    bool last_part_is_out_ = false;  // what is being written, or has been written, is the last of it
+    bool is_last_part_submitted_ =
+        false;  // whether the last bytes of the request are being or have been written
     bool is_written_ = false;
 };
 
--- a/src/node/upstream_response_reader.cpp
+++ b/src/node/upstream_response_reader.cpp
@@ -20,21 +20,23 @@
 
 namespace {
 
-/// A streamed response is given up when its server has been silent for the longest deadline.
-constexpr Millis kSilenceTimeout = 3000;
-/// Bytes received at a time once the body has begun.
+/// Time without received bytes after which a streamed response fails; equal to the longest request deadline.
+constexpr Millis kStreamIdleTimeout = 3000;
+/// Largest number of bytes per read during the body.
 constexpr std::size_t kBodyReadSize = 16 * 1024;
-/// Reads, and pieces parsed, in a row before other connections have their turn.
-constexpr int kStepsPerTurn = 8;
+/// Largest number of reads and parser calls in a row before other connections are served.
+constexpr int kMaxStepsPerTurn = 8;
 
-/// Limits the log of responses that are not HTTP, which a server sends in bulk, to a line a second.
+/// Returns the log for malformed responses, limited to one line per second because a faulty server can send
+/// many of them.
 net::RateLimitedLog& not_http_log() {
     static net::RateLimitedLog limit(std::chrono::seconds(1));
     return limit;
 }
 
-/// The outcome that a response states, by the protocol's table. An error without the proof may have run; a
-/// 4xx is the request's own fault, except for those that ask for a retry.
+/// Returns the outcome for the status of a response. A 503 or 504 with "Not-Started: 1" proves that the
+/// request never ran; a request that ended with another error may have run. A 4xx means that the request
+/// itself is invalid, except for 408 and 429, which ask for a retry.
 template <class Message>
 Outcome outcome_of(const Message& response) {
     const http::status status = response.result();
@@ -46,8 +48,8 @@
     if (is_client_error && !asks_for_retry) return Outcome::invalid_request;
     const bool is_overload =
         status == http::status::service_unavailable || status == http::status::gateway_timeout;
-    const bool has_never_run = is_overload && response["Not-Started"] == "1";
-    return has_never_run ? Outcome::overloaded : Outcome::failed;
+    const bool is_proven_not_started = is_overload && response["Not-Started"] == "1";
+    return is_proven_not_started ? Outcome::overloaded : Outcome::failed;
 }
 
 }  // namespace
@@ -56,11 +58,11 @@
     const auto exchange = exchange_.shared_from_this();
     UpstreamConnection& connection = exchange->connection();
     int steps = 0;
-    while (exchange->is_under_way()) {
+    while (exchange->is_in_progress()) {
         if (body_ && body_->free_space() == 0) return on_body_full();
         if (connection.received().size() > 0) {
             if (!parse()) return;
-        } else if (steps >= kStepsPerTurn) {
+        } else if (steps >= kMaxStepsPerTurn) {
             return asio::post(connection.socket().get_executor(), [exchange] { exchange->reader().read(); });
         } else if (!receive()) {
             return;
@@ -72,12 +74,12 @@
 void UpstreamResponseReader::on_timeout() {
     const auto exchange = exchange_.shared_from_this();
     if (is_streaming_)
-        on_broken(asio::error::timed_out);
+        on_invalid_response(asio::error::timed_out);
     else if (body_)
         start_stream();
 }
 
-std::shared_ptr<net::BodyBuffer> UpstreamResponseReader::release() {
+std::shared_ptr<net::BodyBuffer> UpstreamResponseReader::release_body() {
     const auto body = std::exchange(body_, nullptr);
     if (body) body->on_writable = nullptr;
     parser_.reset();
@@ -85,7 +87,8 @@
     return was_streaming ? body : nullptr;
 }
 
-/// @return whether anything was received.
+/// Receives bytes into the connection's buffer.
+/// @return whether any bytes were received.
 bool UpstreamResponseReader::receive() {
     UpstreamConnection& connection = exchange_.connection();
     auto& received = connection.received();
@@ -102,24 +105,26 @@
         return false;
     }
     received.commit(count);
-    if (is_streaming_) connection.expire_after(kSilenceTimeout);
+    if (is_streaming_) connection.set_timeout(kStreamIdleTimeout);
     return true;
 }
 
-/// The end of the connection may be the end of the response, where its head has said so.
+/// Handles a failed read. The end of the connection ends a response that has neither a length nor chunks. A
+/// 200 response is accepted in that case only if its header announces the close, because it could be
+/// truncated.
 void UpstreamResponseReader::on_read_failed(error_code error) {
     const bool may_end_response = error == asio::error::eof && parser_ && parser_->is_header_done() &&
                                   parser_->need_eof() && !parser_->is_done();
-    if (!may_end_response) return on_broken(error);
+    if (!may_end_response) return on_invalid_response(error);
     const bool is_announced = http::token_list(parser_->get()[http::field::connection]).exists("close");
-    if (parser_->get().result() == http::status::ok && !is_announced) return on_broken(error);
+    if (parser_->get().result() == http::status::ok && !is_announced) return on_invalid_response(error);
     error_code ignored;
     parser_->put_eof(ignored);
     end_with_response();
 }
 
-/// Parses what has been received.
-/// @return whether reading goes on; else more has to be received first, or the exchange has ended.
+/// Parses the received bytes.
+/// @return whether reading continues; false if the parser needs more bytes or the exchange has ended.
 bool UpstreamResponseReader::parse() {
     if (!parser_) {
         parser_.emplace();
@@ -136,7 +141,7 @@
         error = http::error::header_limit;
     }
     if (error) {
-        on_broken(error);
+        on_invalid_response(error);
         return false;
     }
     if (!had_header && parser_->is_header_done() && !on_header()) return false;
@@ -150,13 +155,14 @@
     return !exchange_.is_ended();
 }
 
-/// @return whether the exchange is still under way.
+/// Passes the received bytes to the parser and adds the parsed bytes of the body to the buffer.
+/// @return whether the exchange is still in progress.
 bool UpstreamResponseReader::parse_received(error_code& error) {
-    std::size_t room = 0;
+    std::size_t free_space = 0;
     auto& part = parser_->get().body();
     if (body_) {
-        room = body_->free_space();
-        part.size = room;
+        free_space = body_->free_space();
+        part.size = free_space;
         part.data = body_->write_pointer();
         part.more = true;
     }
@@ -164,45 +170,49 @@
     auto& received = exchange_.connection().received();
     const std::size_t parsed = parser_->put(received.data(), error);
     received.consume(parsed);
-    if (!body_ || part.size >= room) return true;
-    body_->commit(room - part.size);
-    return exchange_.is_under_way();
+    if (!body_ || part.size >= free_space) return true;
+    body_->commit(free_space - part.size);
+    return exchange_.is_in_progress();
 }
 
-/// @return whether reading goes on.
+/// Handles a complete header.
+/// @return whether reading continues.
 bool UpstreamResponseReader::on_header() {
     const auto status_class = http::to_status_class(parser_->get().result_int());
-    if (status_class == http::status_class::informational) {  // the response itself is yet to come
+    if (status_class == http::status_class::informational) {  // The final response follows.
         parser_.reset();
         return true;
     }
     const auto length = parser_->content_length();
     if (length && *length > net::kMaxForwardedBodyBytes) {
-        on_broken(http::error::body_limit);
+        on_invalid_response(http::error::body_limit);
         return false;
     }
     if (parser_->is_done()) return true;
     UpstreamConnection& connection = exchange_.connection();
     const auto body_length = length ? std::optional<std::uint64_t>(*length) : std::nullopt;
     body_ = std::make_shared<net::BodyBuffer>(connection.budget(), body_length);
-    // How much is yet to come is not known: after a while what there is gets streamed.
+    // The body may have no end in the near future, so it is buffered for a limited time and then streamed.
     if (!length && exchange_.callbacks().on_response_started)
-        connection.expire_after(connection.limits().buffering_time);
+        connection.set_timeout(connection.limits().buffering_time);
     return true;
 }
 
 bool UpstreamResponseReader::is_too_long_to_buffer() {
     if (!body_ || is_streaming_) return false;
-    const bool is_known_to_be =
+    const bool is_longer_than_buffer =
         body_->length && *body_->length > net::BodyBuffer::kMaxCapacity && body_->bytes_written() > 0;
-    return is_known_to_be || body_->is_full();
+    return is_longer_than_buffer || body_->is_full();
 }
 
-/// A streamed response waits for its reader; one that was to be buffered can't be.
+/// Handles a body that does not fit into the buffer. A response that is already streamed pauses until its
+/// reader has consumed bytes. A 200 response that was being buffered is streamed from now on, or fails if the
+/// caller does not accept streamed responses.
 void UpstreamResponseReader::on_body_full() {
-    if (is_streaming_) return exchange_.connection().expire_never();
-    if (parser_->get().result() != http::status::ok) return end_with_response();  // its head is enough
-    if (!exchange_.callbacks().on_response_started) return on_broken(http::error::body_limit);
+    if (is_streaming_) return exchange_.connection().clear_timeout();
+    if (parser_->get().result() != http::status::ok)
+        return end_with_response();  // The outcome depends on the head only.
+    if (!exchange_.callbacks().on_response_started) return on_invalid_response(http::error::body_limit);
     start_stream();
 }
 
@@ -210,34 +220,34 @@
     const auto& on_response_started = exchange_.callbacks().on_response_started;
     if (!on_response_started || parser_->get().result() != http::status::ok) return;
     UpstreamConnection& connection = exchange_.connection();
-    if (body_->bytes_written() == 0) return connection.expire_after(connection.limits().buffering_time);
+    if (body_->bytes_written() == 0) return connection.set_timeout(connection.limits().buffering_time);
     is_streaming_ = true;
-    connection.expire_after(kSilenceTimeout);
+    connection.set_timeout(kStreamIdleTimeout);
     body_->on_writable = [weak = exchange_.weak_from_this()] {
-        if (const auto exchange = weak.lock()) exchange->reader().on_body_room();
+        if (const auto exchange = weak.lock()) exchange->reader().on_body_writable();
     };
     UpstreamResponseHead head(http::status::ok, net::kHttpVersion);
     net::copy_end_to_end_fields(head, parser_->get());
     on_response_started(std::move(head), body_);
 }
 
-/// The reader of a streamed response has made room for more of it.
-void UpstreamResponseReader::on_body_room() {
+/// Resumes reading after the reader of a streamed response has freed space in the buffer.
+void UpstreamResponseReader::on_body_writable() {
     UpstreamConnection& connection = exchange_.connection();
     if (!connection.is_open() || connection.is_waiting_readable()) return;
     asio::post(connection.socket().get_executor(), [this, exchange = exchange_.shared_from_this()] {
         UpstreamConnection& reopened = exchange->connection();
         if (!reopened.is_open() || reopened.is_waiting_readable() || !is_streaming_) return;
-        reopened.expire_after(kSilenceTimeout);
+        reopened.set_timeout(kStreamIdleTimeout);
         read();
     });
 }
 
-/// The response can't be read to its end.
-void UpstreamResponseReader::on_broken(error_code why) {
+/// Handles a response that is malformed, truncated or too long, or that has timed out.
+void UpstreamResponseReader::on_invalid_response(error_code why) {
     if (net::is_malformed(why))
         not_http_log().log(spdlog::level::warn, "upstream.not_http", {{"why", why.message()}});
-    // The proof that the request never ran stands in the header.
+    // The outcome of an error response depends on its header only, also if its body is truncated.
     const bool has_header = parser_ && parser_->is_header_done();
     if (has_header && parser_->get().result() != http::status::ok) return end_with_response();
     exchange_.fail(exchange_.writer().is_written());
--- a/src/node/upstream_response_reader.hpp
+++ b/src/node/upstream_response_reader.hpp
@@ -13,22 +13,25 @@
 
 class UpstreamExchange;
 
-/// Reads as far as there is room for the body. A response is buffered until it is complete, so that the
-/// request can be retried; a 200 that is too long, or takes too long, is streamed instead.
+/// Reads and parses a response. The response is buffered until it is complete, so that the request can still
+/// be retried. A 200 response that is too long or too slow for the buffer is streamed to the client instead;
+/// reading pauses while the buffer of the body is full.
 class UpstreamResponseReader {
 public:
     /// @param exchange  owns this reader.
     explicit UpstreamResponseReader(UpstreamExchange& exchange) : exchange_(exchange) {}
 
-    /// Reads and parses as long as there is something to read and room for it.
+    /// Reads and parses until the socket has no more bytes, the buffer is full, or the exchange ends.
     void read();
 
-    /// The connection's timer, set by this reader, has run out.
+    /// Handles the expiry of the connection's timer.
     void on_timeout();
 
-    /// Drops the state of the response.
-    /// @return the body of a streamed response, which is still to be finished or failed; null: none.
-    std::shared_ptr<net::BodyBuffer> release();
+    /// Discards the state of the response.
+    /// @return the body of a streamed response, which the caller must mark as complete or truncated; null if
+    /// no
+    ///         response is being streamed.
+    std::shared_ptr<net::BodyBuffer> release_body();
 
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
@@ -40,9 +43,9 @@
     bool is_too_long_to_buffer();
     void on_body_full();
     void start_stream();
-    void on_body_room();
+    void on_body_writable();
     void on_read_failed(boost::system::error_code error);
-    void on_broken(boost::system::error_code why);
+    void on_invalid_response(boost::system::error_code why);
     void end_with_response();
 
     UpstreamExchange& exchange_;
