--- a/src/node/action_executor.hpp
+++ b/src/node/action_executor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Carries out the Balancer's actions.
+/// Executes the Balancer's actions.
 #pragma once
 
 #include <optional>
@@ -16,7 +16,7 @@
 
 namespace mothring::node {
 
-/// Who carries out actions; all of it must outlive the executor.
+/// References to the objects that actions are dispatched to; they must outlive the executor.
 struct ActionExecutorParts {
     const net::Clock& clock;
     EventLoop& loop;
@@ -25,11 +25,11 @@
     UpstreamPool& upstream;
     EndpointListUpdater& endpoint_list;
     const EndpointDirectory& endpoints;
-    /// Absent: messages to peers are dropped.
+    /// If absent, messages to peers are dropped.
     std::optional<Peers>& peers;
 };
 
-/// Hands each action to the part that carries it out.
+/// Dispatches each action to the object that executes it.
 class ActionExecutor {
 public:
     explicit ActionExecutor(const ActionExecutorParts& parts) : parts_(parts) {}
--- a/src/node/forwarded_message.cpp
+++ b/src/node/forwarded_message.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr unsigned kHttpVersion = 11;  // HTTP/1.1, as Beast writes it
+constexpr unsigned kHttpVersion = 11;  // HTTP/1.1 in Beast's encoding
 constexpr Millis kSecond = 1000;
-constexpr std::size_t kLongestDecimal = 40;
+constexpr std::size_t kMaxDecimalLength = 40;
 
-std::string decimal(double value, int places) {
-    std::array<char, kLongestDecimal> text{};
+std::string to_decimal(double value, int places) {
+    std::array<char, kMaxDecimalLength> text{};
     const int length = std::snprintf(text.data(), text.size(), "%.*f", places, value);
     return {text.data(), text.data() + length};
 }
@@ -47,12 +47,12 @@
 
 DownstreamListener::Response rejection(Millis retry_after) {
     DownstreamListener::Response response = empty_response(http::status::service_unavailable);
-    if (retry_after > 0) response.set(http::field::retry_after, decimal(retry_after / kSecond, 3));
+    if (retry_after > 0) response.set(http::field::retry_after, to_decimal(retry_after / kSecond, 3));
     return response;
 }
 
 void set_time_left(UpstreamPool::RequestHead& head, Millis time_left) {
-    head.set("Request-Timeout-Ms", decimal(time_left, 0));
+    head.set("Request-Timeout-Ms", to_decimal(time_left, 0));
 }
 
 }  // namespace mothring::node
--- a/src/node/forwarded_message.hpp
+++ b/src/node/forwarded_message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The messages that the sidecar makes: requests as forwarded, and responses to clients.
+/// Functions that build the messages the sidecar sends: forwarded requests, and responses to clients.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -11,20 +11,20 @@
 
 namespace mothring::node {
 
-/// The head of a client's request as it is forwarded to a server.
+/// Returns the head of a client's request as it is forwarded to a server.
 UpstreamPool::RequestHead forwarded_head(const DownstreamListener::RequestHead& head);
 
-/// A server's response as it is forwarded to the client.
+/// Returns a server's response as it is forwarded to the client.
 DownstreamListener::Response forwarded_response(UpstreamPool::Response response);
 
-/// A response of the sidecar's own, without a body.
+/// Returns a response without a body that the sidecar itself generates.
 DownstreamListener::Response empty_response(boost::beast::http::status status);
 
-/// The response to a request that is rejected.
-/// @param retry_after  0: none.
+/// Returns the 503 response for a rejected request.
+/// @param retry_after  value of Retry-After; 0 omits the header.
 DownstreamListener::Response rejection(Millis retry_after);
 
-/// States how much of the request's time is left, in whole milliseconds.
+/// Sets the Request-Timeout-Ms header, in whole milliseconds.
 void set_time_left(UpstreamPool::RequestHead& head, Millis time_left);
 
 }  // namespace mothring::node
--- a/src/node/health_checker.hpp
+++ b/src/node/health_checker.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Health checks: one request to a server, with a timeout.
+/// Health checks of servers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,7 +12,7 @@
 
 namespace mothring::node {
 
-/// What the checker works with; all of it must outlive the checker.
+/// References to the objects that the checker uses; they must outlive the checker.
 struct HealthCheckerParts {
     boost::asio::io_context& io;
     const net::Clock& clock;
@@ -21,13 +21,14 @@
     UpstreamPool& upstream;
 };
 
+/// Executes health checks: sends a GET request to a server and reports the outcome and the duration.
 class HealthChecker {
 public:
-    /// @param is_allowed  the settings permit health checks; without it each ends as not sent.
+    /// @param is_allowed  whether the settings permit health checks; if not, each check ends as not sent.
     HealthChecker(const HealthCheckerParts& parts, bool is_allowed)
         : parts_(parts), is_allowed_(is_allowed) {}
 
-    /// Checks a server; HealthCheckEnded tells how that ended.
+    /// Sends a health check to a server. The result is reported by the event HealthCheckEnded.
     void check(ServerId server);
 
 private:
--- a/src/node/in_flight_requests.hpp
+++ b/src/node/in_flight_requests.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Counts how the clients' requests end.
+/// Counts the outcomes of the clients' requests.
 #pragma once
 
 #include <cstddef>
@@ -11,18 +11,20 @@
 
 namespace mothring::node {
 
-/// The requests whose response has not gone out yet. Each is counted in the metrics as it ends.
+/// Holds the requests whose response has not been sent completely, and counts each one in the metrics when it
+/// ends.
 class InFlightRequests {
 public:
-    /// @param metrics  where they are counted; must outlive this.
+    /// @param metrics  receives the counts; must outlive this object.
     explicit InFlightRequests(Metrics& metrics) : metrics_(metrics) {}
 
-    /// A request is taken.
+    /// Adds a request.
     void add(RequestId id, std::uint32_t class_index);
-    /// The final response of a request begins to go out. One that was not taken before counts as well.
+    /// Records the outcome of a request when its final response starts. Adds the request if it is missing.
     void set_outcome(RequestId id, std::uint32_t class_index, RequestOutcome outcome);
-    /// The response has gone out, or can't.
-    /// @param is_complete  all of it has gone out; else the request has failed.
+    /// Counts a request and removes it.
+    /// @param is_complete  whether the response has been sent completely; if not, the request counts as
+    /// failed.
     void complete(RequestId id, bool is_complete);
 
     std::size_t size() const { return requests_.size(); }
--- a/src/node/overdue_sweep.hpp
+++ b/src/node/overdue_sweep.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// After a failure: gives a response to requests that have lost what would have brought it.
+/// Times out requests that can no longer get a response after a failure in the sidecar.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,33 +12,34 @@
 
 namespace mothring::node {
 
-/// A failure may have cost any request that is held its event, attempt or timer. Each of them is watched
-/// until it has ended; one that is past its deadline by then is timed out.
+/// Guarantees a final response after an exception in the sidecar. The exception may have lost the event, the
+/// attempt or the timer of any request in the table. The sweep therefore watches these requests until they
+/// have ended, and times out each one that is past its deadline.
 class OverdueSweep {
 public:
     using TimeOut = std::function<void(RequestId id)>;
 
-    /// @param clock, requests  must outlive this.
-    /// @param time_out  ends a request that is overdue.
+    /// @param clock, requests  must outlive this object.
+    /// @param time_out  called with each request that is overdue; must mark it as ended.
     OverdueSweep(boost::asio::io_context& io, const net::Clock& clock, const RequestTable& requests,
                  TimeOut time_out);
 
-    /// Something has failed: all requests held are suspect. schedule() has to follow.
+    /// Marks all requests in the table as watched. The caller must call schedule() next.
     void watch_all();
-    /// Begins, or goes on, to look at the suspect requests.
+    /// Schedules the next check of the watched requests.
     void schedule();
 
 private:
-    bool is_suspect(RequestId id, const Request& request) const;
+    bool is_watched(RequestId id, const Request& request) const;
     bool is_overdue(RequestId id, const Request& request) const;
     void time_out_overdue();
-    bool has_suspects() const;
+    bool has_watched_requests() const;
 
     const net::Clock& clock_;
     const RequestTable& requests_;
     TimeOut time_out_;
-    /// At the last failure no later request was held.
-    RequestId last_suspect_ = 0;
+    /// The latest request in the table at the last failure; later requests are not watched.
+    RequestId last_watched_ = 0;
     boost::asio::steady_timer timer_;
     LifetimeGuard guard_;
 };
--- a/src/node/request_table.hpp
+++ b/src/node/request_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The requests that the sidecar has, with the attempts made for them.
+/// The table of requests and their attempts.
 #pragma once
 
 #include <cstddef>
@@ -16,16 +16,16 @@
 
 namespace mothring::node {
 
-/// A later time than any; for what has no end yet.
+/// A time later than any other; used for a deadline that is not known yet.
 constexpr Millis kNever = 1e15;
 
-/// An attempt to have a request served by a server.
+/// One sending of a request to a server.
 struct Attempt {
     ExchangeId exchange = 0;
     ServerId server = 0;
     Millis sent_at = 0;
     bool in_flight = true;
-    /// When the response that is streamed to the client began; 0: it has not.
+    /// Time at which streaming of the response to the client started; 0 if it has not.
     Millis response_started_at = 0;
 
     bool has_response_started() const { return response_started_at > 0; }
@@ -34,23 +34,24 @@
 /// A client's request.
 struct Request {
     std::shared_ptr<const DownstreamListener::RequestHead> head;
-    /// Null: it has none.
+    /// Null if the request has no body.
     std::shared_ptr<net::BodyBuffer> body;
     std::uint32_t class_index = 0;
-    /// Until the client gives up, from its last byte on.
+    /// Time from the last byte of the request until the client times out.
     Millis time_left = 0;
-    /// When its last byte arrived; 0: it has not yet.
+    /// Time at which the last byte arrived; 0 if the request is incomplete.
     Millis complete_at = 0;
+    /// kNever while the request is incomplete.
     Millis deadline = kNever;
     std::vector<Attempt> attempts;
-    /// Its client has the final response, or the beginning of it, or has left.
+    /// Whether the final response has started, or the client has left.
     bool has_ended = false;
 
     bool is_complete() const { return complete_at > 0; }
     bool has_attempt_in_flight() const;
 };
 
-/// Holds each request until it has its final response and its attempts have ended.
+/// Holds each request until its final response has started and its attempts have ended.
 class RequestTable {
 public:
     using Map = std::unordered_map<RequestId, Request>;
@@ -58,12 +59,12 @@
     Request& add(RequestId id) { return requests_[id]; }
     bool contains(RequestId id) const { return requests_.contains(id); }
     const Request& at(RequestId id) const { return requests_.at(id); }
-    /// Null: not known.
+    /// Returns a request, or null if the table does not hold it.
     Request* find(RequestId id);
-    /// Null: not known, or it has ended.
+    /// Returns a request, or null if the table does not hold it or it has ended.
     Request* find_open(RequestId id);
 
-    /// Drops a request that has ended and has no attempt in flight.
+    /// Erases a request if it has ended and has no attempt in flight.
     void forget_if_done(RequestId id);
 
     const Map& all() const { return requests_; }
--- a/src/node/unread_ages.hpp
+++ b/src/node/unread_ages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// For how long bytes have stood unread.
+/// Estimates for how long received bytes have been unread.
 #pragma once
 
 #include <chrono>
@@ -12,36 +12,37 @@
 
 namespace mothring::node::downstream {
 
-/// The time of a request counts from its last byte. When that came is not known of bytes that stood unread,
-/// in our buffer or the kernel's: at the earliest when reading stopped, or when the first of them was seen.
-/// So that this moment does not lie ever further back for a client that sends without a pause, the unread
-/// bytes are counted then: bytes beyond those came later.
+/// Computes an upper bound for the time for which bytes have been unread in the sidecar's or the kernel's
+/// buffer. The time of a request starts with the arrival of its last byte, which is not observed while
+/// reading is paused. The bound starts when reading paused or when unread bytes were first seen. The number
+/// of unread bytes is counted at that moment: any byte beyond that number arrived later. Without the count,
+/// the bound would grow without limit for a client that sends without a pause.
 class UnreadAges {
 public:
     using TimePoint = std::chrono::steady_clock::time_point;
-    /// How many bytes have come and are unread.
+    /// Returns the number of bytes that have been received and not read.
     using CountUnread = std::function<std::size_t()>;
 
     explicit UnreadAges(CountUnread count_unread) : count_unread_(std::move(count_unread)) {}
 
-    /// Bytes stand unread from now on, unless that is noted already.
+    /// Records that unread bytes exist from now on. Has no effect if that is recorded already.
     void note_unread(TimePoint now);
-    /// Nothing stands unread: what comes is read as it comes.
+    /// Records that no bytes are unread and that reading is not paused.
     void note_all_read() { unread_since_.reset(); }
-    /// That many bytes have been read, the oldest first.
+    /// Records that the oldest `bytes` of the unread bytes have been read.
     void note_read(std::size_t bytes, TimePoint now);
 
     bool has_unread() const { return unread_since_.has_value(); }
-    /// For how long the bytes that are read next, or were read last, may have stood unread.
+    /// Returns the longest time for which the bytes read last, or the next ones, can have been unread.
     Millis age(TimePoint now) const;
 
 private:
     void count(TimePoint now);
 
     CountUnread count_unread_;
-    std::optional<TimePoint> unread_since_;  // none: nothing stands unread
+    std::optional<TimePoint> unread_since_;  // absent if no bytes are unread
     TimePoint counted_at_;
-    std::size_t counted_ = 0;  // of the bytes counted then, those still unread
+    std::size_t counted_ = 0;  // number of the bytes counted at counted_at_ that are still unread
 };
 
 }  // namespace mothring::node::downstream
