--- a/tests/final_answer_test.cpp
+++ b/tests/final_answer_test.cpp
@@ -1,5 +1,6 @@
-// Trouble at servers or with other clients frees no request of its final answer: each has exactly one by its
-// deadline and half a second, or its connection is seen to end.
+// Every request must get exactly one final answer no later than 500 ms after its deadline, or its connection
+// must be closed. These tests check that with failing servers, with other clients that use up the limits, and
+// with failing memory allocations.
 #include <array>
 #include <atomic>
 #include <chrono>
@@ -13,12 +14,13 @@
 
 namespace {
 
-// How many allocations of this thread succeed before one fails; -1: none does.
+// Number of allocations of this thread that succeed before one fails; -1 if none fails.
 thread_local long allocations_left = -1;
 
 }  // namespace
 
-// Not taken apart by the optimizer, which would see malloc and delete, or new and free.
+// The functions are not inlined because the compiler would otherwise see mismatched pairs, malloc() with
+// delete or new with free().
 [[gnu::noinline]] void* operator new(std::size_t size) {
     if (allocations_left >= 0 && allocations_left-- == 0) throw std::bad_alloc();
     if (void* const memory = std::malloc(size > 0 ? size : 1)) return memory;
@@ -34,16 +36,17 @@
 using std::chrono::milliseconds;
 
 const std::vector<std::string> kinds{"listen", "deposit", "annotate"};
-constexpr int kTimeout = 150;        // ms, of each request here
-constexpr milliseconds kSlack{500};  // by which an answer may come after its request's time
+constexpr int kTimeout = 150;        // ms, time-out of the requests
+constexpr milliseconds kSlack{500};  // time after its deadline within which a request must be answered
 
-// What a server does with every request: it sends `bytes`, then `more` again and again, or ends.
-struct Trouble {
+// The faulty behaviour of a server. The server sends `bytes` for every request. It then either sends `more`
+// repeatedly or ends the connection.
+struct ServerFault {
     std::string name;
     std::string bytes;
     std::string more{};
     enum class End { none, close, reset } end = End::none;
-    friend std::ostream& operator<<(std::ostream& out, const Trouble& trouble) { return out << trouble.name; }
+    friend std::ostream& operator<<(std::ostream& out, const ServerFault& fault) { return out << fault.name; }
 };
 
 const std::string ok = "HTTP/1.1 200 OK\r\n";
@@ -53,74 +56,78 @@
     return all;
 }
 
-const std::vector<Trouble> troubles{
+const std::vector<ServerFault> server_faults{
     {"Silence", ""},
-    {"Close", "", "", Trouble::End::close},
-    {"Reset", "", "", Trouble::End::reset},
-    {"HalfAStatusLine", "HTTP/1.1 2"},
-    {"HalfAStatusLineReset", "HTTP/1.1 2", "", Trouble::End::reset},
-    {"HalfABody", ok + "Content-Length: 100\r\n\r\nhalf"},
-    {"HalfABodyClose", ok + "Content-Length: 100\r\n\r\nhalf", "", Trouble::End::close},
-    {"HalfABodyReset", ok + "Content-Length: 100\r\n\r\nhalf", "", Trouble::End::reset},
-    {"HalfALargeBodyClose", ok + "Content-Length: 100000\r\n\r\n" + times("half", 5000), "",
-     Trouble::End::close},
-    {"HalfAChunkReset", ok + "Transfer-Encoding: chunked\r\n\r\n64\r\nhalf", "", Trouble::End::reset},
+    {"Close", "", "", ServerFault::End::close},
+    {"Reset", "", "", ServerFault::End::reset},
+    {"PartialStatusLine", "HTTP/1.1 2"},
+    {"PartialStatusLineReset", "HTTP/1.1 2", "", ServerFault::End::reset},
+    {"PartialBody", ok + "Content-Length: 100\r\n\r\nhalf"},
+    {"PartialBodyClose", ok + "Content-Length: 100\r\n\r\nhalf", "", ServerFault::End::close},
+    {"PartialBodyReset", ok + "Content-Length: 100\r\n\r\nhalf", "", ServerFault::End::reset},
+    {"PartialLargeBodyClose", ok + "Content-Length: 100000\r\n\r\n" + times("half", 5000), "",
+     ServerFault::End::close},
+    {"PartialChunkReset", ok + "Transfer-Encoding: chunked\r\n\r\n64\r\nhalf", "", ServerFault::End::reset},
     {"LengthTooSmall", ok + "Content-Length: 3\r\n\r\nserved"},
     {"LengthNegative", ok + "Content-Length: -1\r\n\r\nserved"},
-    {"LengthTooGreatANumber", ok + "Content-Length: 99999999999999999999\r\n\r\nserved"},
-    {"LengthOverTheLargest", ok + "Content-Length: 999999999999\r\n\r\nserved"},
-    {"TwoLengths", ok + "Content-Length: 6\r\nContent-Length: 7\r\n\r\nserved"},
+    {"LengthOverflow", ok + "Content-Length: 99999999999999999999\r\n\r\nserved"},
+    {"LengthOverLimit", ok + "Content-Length: 999999999999\r\n\r\nserved"},
+    {"ConflictingLengths", ok + "Content-Length: 6\r\nContent-Length: 7\r\n\r\nserved"},
     {"LengthAndChunks",
      ok + "Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nserved\r\n0\r\n\r\n"},
-    {"ChunkTooGreatANumber", ok + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\nserved"},
+    {"ChunkSizeOverflow", ok + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\nserved"},
     {"EndlessHeaders", ok, "X-More: and more\r\n"},
     {"EndlessHeaderLine", ok + "X-More: ", "and more "},
     {"EndlessHeadersAtOnce", ok + times("X-More: and more\r\n", 20000)},
     {"EndlessChunkExtension", ok + "Transfer-Encoding: chunked\r\n\r\n6;", "and-more"},
     {"EndlessTrailers", ok + "Transfer-Encoding: chunked\r\n\r\n6\r\nserved\r\n0\r\n",
      "X-More: and more\r\n"},
-    {"EndlessInterimAnswers", "", "HTTP/1.1 100 Continue\r\n\r\n"},
-    {"EndlessInterimAnswersAtOnce", times("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", 20000),
+    {"EndlessInterimResponses", "", "HTTP/1.1 100 Continue\r\n\r\n"},
+    {"EndlessInterimResponsesAtOnce", times("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", 20000),
      "HTTP/1.1 100 Continue\r\n\r\n"},
     {"SwitchingProtocols", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: none\r\n\r\nrubbish"},
-    {"SecondAnswerAtOnce", response("200 OK", "served") + response("200 OK", "second")},
-    {"SecondAnswers", response("200 OK", "served"), response("200 OK", "second")},
-    {"Rubbish", std::string("\0\1\2\3\r\n\r\n", 8), "\xff\xfe"},
+    {"SecondResponseAtOnce", response("200 OK", "served") + response("200 OK", "second")},
+    {"RepeatedSecondResponses", response("200 OK", "served"), response("200 OK", "second")},
+    {"BinaryGarbage", std::string("\0\1\2\3\r\n\r\n", 8), "\xff\xfe"},
     {"EmptyLines", "", "\r\n"},
     {"OtherProtocol", "SSH-2.0-OpenSSH_9.2\r\n"},
 };
 
 struct FinalAnswer : NetRig {
-    struct Asked {
+    struct SentRequest {
         TestClient* client;
-        SteadyClock::time_point by;  // what it is owed
+        SteadyClock::time_point deadline;  // latest time for the response
     };
-    std::list<Asked> asked;
+    std::list<SentRequest> sent_requests;
 
-    Asked& send(const std::string& bytes, int timeout = kTimeout) {
-        asked.push_back({&client(), SteadyClock::now() + milliseconds(timeout) + kSlack});
-        asked.back().client->send(bytes);
-        return asked.back();
+    SentRequest& send(const std::string& bytes, int timeout = kTimeout) {
+        sent_requests.push_back({&client(), SteadyClock::now() + milliseconds(timeout) + kSlack});
+        sent_requests.back().client->send(bytes);
+        return sent_requests.back();
     }
-    static bool over(const Asked& a) { return !a.client->answers.empty() || a.client->ended; }
-    // Until each has its answer, or its end, or is late; `meanwhile` goes on at each turn.
-    void expect_each_in_time(const std::function<void()>& meanwhile = [] {}) {
+    // Returns whether the request has a response or its connection has ended.
+    static bool is_finished(const SentRequest& a) { return !a.client->answers.empty() || a.client->ended; }
+    // Checks that each request is finished in time. Calls `on_turn` repeatedly while it waits.
+    void expect_each_finished_in_time(const std::function<void()>& on_turn = [] {}) {
         until([&] {
-            meanwhile();
-            return std::all_of(asked.begin(), asked.end(),
-                               [](const Asked& a) { return over(a) || SteadyClock::now() > a.by; });
+            on_turn();
+            return std::all_of(sent_requests.begin(), sent_requests.end(), [](const SentRequest& a) {
+                return is_finished(a) || SteadyClock::now() > a.deadline;
+            });
         });
-        for (const Asked& a : asked) EXPECT_TRUE(over(a)) << "late, or never";
+        for (const SentRequest& a : sent_requests)
+            EXPECT_TRUE(is_finished(a)) << "no response by the deadline plus 500 ms";
     }
-    // What comes next on each connection that is left is the answer to what is asked next there.
-    void expect_no_second() {
-        for (const Asked& a : asked) {
+    // Checks that no request has a second response. The next response on each open connection must be the one
+    // to a further request.
+    void expect_no_second_response() {
+        for (const SentRequest& a : sent_requests) {
             EXPECT_LE(a.client->answers.size(), 1u);
             if (a.client->ended || a.client->answers.empty() || !a.client->answers[0].keep_alive()) continue;
             try {
                 a.client->send("POST /_health HTTP/1.1\r\nHost: app.svc\r\nContent-Length: 0\r\n\r\n");
             } catch (const boost::system::system_error&) {
-                continue;  // it has ended by now
+                continue;  // The sidecar has closed the connection.
             }
             until([&] { return a.client->answers.size() > 1 || a.client->ended; });
             if (a.client->answers.size() > 1) {
@@ -128,151 +135,155 @@
             }
         }
     }
-    void expect_nothing_left() {
+    void expect_no_request_left() {
         until([&] { return sidecar->request_count() == 0 && sidecar->metrics().in_flight == 0; });
         EXPECT_EQ(sidecar->gauges().requests, 0u);
     }
 };
 
-struct TroubledServer : FinalAnswer, testing::WithParamInterface<Trouble> {};
+struct FailingServer : FinalAnswer, testing::WithParamInterface<ServerFault> {};
 
-TEST_P(TroubledServer, EachRequestHasOneAnswerInTime) {
-    const Trouble& trouble = GetParam();
-    const std::string bytes = trouble.bytes;
+TEST_P(FailingServer, EachRequestHasOneResponseInTime) {
+    const ServerFault& fault = GetParam();
+    const std::string bytes = fault.bytes;
     a.script = b.script = [&](const auto&) {
-        return Reply{bytes, trouble.end == Trouble::End::close, trouble.end == Trouble::End::reset};
+        return Reply{bytes, fault.end == ServerFault::End::close, fault.end == ServerFault::End::reset};
     };
     start();
     for (const std::string& kind : kinds)
         for (int i = 0; i < 4; ++i) send(request(kind, kind + std::to_string(i), kTimeout));
-    expect_each_in_time([&] {
+    expect_each_finished_in_time([&] {
         for (ScriptedServer* server : {&a, &b})
             for (const auto& c : server->connections) {
                 error_code ignored;
-                if (trouble.more.empty() || c->requests == 0 || !c->socket.is_open()) continue;
+                if (fault.more.empty() || c->requests == 0 || !c->socket.is_open()) continue;
                 c->socket.non_blocking(true, ignored);
-                c->socket.write_some(asio::buffer(trouble.more), ignored);
+                c->socket.write_some(asio::buffer(fault.more), ignored);
             }
     });
     EXPECT_GE(server_request_count(), 2u);
-    expect_no_second();
+    expect_no_second_response();
     a.script = b.script = silence;
-    expect_nothing_left();
+    expect_no_request_left();
 }
 
-INSTANTIATE_TEST_SUITE_P(Each, TroubledServer, testing::ValuesIn(troubles),
+INSTANTIATE_TEST_SUITE_P(Each, FailingServer, testing::ValuesIn(server_faults),
                          [](const auto& info) { return info.param.name; });
 
-// A server answers, or breaks off, while its request is still coming.
-TEST_F(FinalAnswer, AnAnswerBeforeTheRequestIsWholeIsTheOnlyOne) {
+// A server may respond or close the connection before it has received the complete request. The
+// client must then still get a single response.
+TEST_F(FinalAnswer, ResponseBeforeRequestIsCompleteIsTheOnlyOne) {
     const std::vector<std::string> replies{response("200 OK", "early"), response("500 Early"), ""};
     for (const std::string& reply : replies) {
         net::Tcp::acceptor early(io, any_port);
-        std::list<net::Tcp::socket> taken;
+        std::list<net::Tcp::socket> accepted_sockets;
         std::function<void()> accept = [&] {
             early.async_accept([&](error_code failed, net::Tcp::socket socket) {
                 if (failed) return;
-                taken.push_back(std::move(socket));
+                accepted_sockets.push_back(std::move(socket));
                 error_code ignored;
-                asio::write(taken.back(), asio::buffer(reply), ignored);
-                if (reply.empty()) taken.back().close();
+                asio::write(accepted_sockets.back(), asio::buffer(reply), ignored);
+                if (reply.empty()) accepted_sockets.back().close();
                 accept();
             });
         };
         accept();
-        asked.clear();
+        sent_requests.clear();
         start({{"s-early", "127.0.0.1:" + std::to_string(early.local_endpoint().port())}});
-        const std::string whole = request("deposit", "id-1", kTimeout, std::string(1 << 20, 'a'));
-        send(whole.substr(0, 200000));
-        TestClient& c = *asked.back().client;
-        until([&] { return !taken.empty() || over(asked.back()); });
+        const std::string complete_request = request("deposit", "id-1", kTimeout, std::string(1 << 20, 'a'));
+        send(complete_request.substr(0, 200000));
+        TestClient& c = *sent_requests.back().client;
+        until([&] { return !accepted_sockets.empty() || is_finished(sent_requests.back()); });
         error_code ignored;
         try {
-            c.send(whole.substr(200000));
-        } catch (const boost::system::system_error&) {  // it has its answer, and its end
+            c.send(complete_request.substr(200000));
+        } catch (const boost::system::system_error&) {
+            // The sidecar has already responded and closed the connection.
         }
-        asked.back().by = SteadyClock::now() + milliseconds(kTimeout) + kSlack;
-        expect_each_in_time();
+        sent_requests.back().deadline = SteadyClock::now() + milliseconds(kTimeout) + kSlack;
+        expect_each_finished_in_time();
         EXPECT_EQ(c.answers.size(), 1u) << reply;
         until([&] { return c.ended || c.answers[0].keep_alive(); });
-        expect_nothing_left();
+        expect_no_request_left();
         sidecar.reset();
         early.close(ignored);
         io.poll();
     }
 }
 
-// The bound on clients is reached by those that idle, stop half-way, and don't read, while requests are out.
-TEST_F(FinalAnswer, ACrowdAtTheBoundOnDescriptorsTakesNoAnswerAway) {
+// Clients that are idle, send incomplete requests or don't read their responses reach the limit of
+// connections. Requests in flight must still be answered.
+TEST_F(FinalAnswer, ClientsAtConnectionLimitDoNotPreventResponses) {
     a.script = [&](const auto& r) {
         return r["Request-Id"] == "large" ? Reply{response("200 OK", std::string(1 << 20, 'a'))} : Reply{};
     };
-    start({{"s-a", a.address()}}, "48");  // twelve clients at a time
+    start({{"s-a", a.address()}}, "48");  // The limit is twelve clients.
     for (int i = 0; i < 6; ++i) send(request("listen", "id-" + std::to_string(i), 600), 600);
     until([&] { return a.requests.size() == 6; });
-    std::list<net::Tcp::socket> crowd;
+    std::list<net::Tcp::socket> other_clients;
     for (int i = 0; i < 60; ++i) {
-        crowd.emplace_back(io).connect(sidecar->address());
+        other_clients.emplace_back(io).connect(sidecar->address());
         const std::string large = request("listen", "large");
-        if (i < 2) asio::write(crowd.back(), asio::buffer(large));  // and its answer is never read
-        if (i % 3 == 1) asio::write(crowd.back(), asio::buffer(large.substr(0, 30)));
+        if (i < 2) asio::write(other_clients.back(), asio::buffer(large));  // The response is never read.
+        if (i % 3 == 1) asio::write(other_clients.back(), asio::buffer(large.substr(0, 30)));
         io.poll();
     }
-    expect_each_in_time();
-    for (const Asked& each : asked) EXPECT_EQ(each.client->answers.size(), 1u);
+    expect_each_finished_in_time();
+    for (const SentRequest& each : sent_requests) EXPECT_EQ(each.client->answers.size(), 1u);
 }
 
-// All of the memory for bodies is taken by others whose bodies stand still.
-TEST_F(FinalAnswer, BodiesThatStandStillTakeNoAnswerAway) {
+// Stalled uploads of other clients use the complete memory budget for bodies.
+TEST_F(FinalAnswer, StalledUploadsDoNotPreventResponses) {
     config::Config config =
         config::read_config(config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}})));
-    config.memory_mb = 1;  // 256 KiB for bodies: four of full size
+    config.memory_mb = 1;  // Bodies get 256 KiB of it, four buffers of the largest size.
     sidecar.emplace(io, std::move(config));
     a.script = [](const auto&) { return Reply{response("200 OK", std::string(60000, 'a'))}; };
-    std::list<net::Tcp::socket> still;
+    std::list<net::Tcp::socket> stalled;
     for (int i = 0; i < 100; ++i) {
-        still.emplace_back(io).connect(sidecar->address());
-        const std::string whole =
+        stalled.emplace_back(io).connect(sidecar->address());
+        const std::string complete_request =
             request("deposit", "still-" + std::to_string(i), 5000, std::string(1 << 20, 'a'));
-        asio::write(still.back(), asio::buffer(whole.substr(0, 8000)));
+        asio::write(stalled.back(), asio::buffer(complete_request.substr(0, 8000)));
     }
     until([&] { return sidecar->buffered_bytes() >= 256 * 1024; });
     for (int i = 0; i < 8; ++i)
         send(request("annotate", "id-" + std::to_string(i), 1000, std::string(60000, 'b')), 1000);
-    expect_each_in_time();
-    for (const Asked& each : asked) {
+    expect_each_finished_in_time();
+    for (const SentRequest& each : sent_requests) {
         ASSERT_EQ(each.client->answers.size(), 1u);
         EXPECT_EQ(each.client->answers[0].result_int(), 200u);
         EXPECT_EQ(each.client->answers[0].body().size(), 60000u);
     }
 }
 
-// One client sends as much as it can without a pause; each of its requests fails slowly or fast.
-TEST_F(FinalAnswer, AFloodOfPipelinedRequestsKeepsNobodyWaiting) {
+// One client sends pipelined requests as fast as the sidecar accepts them. The requests of other clients must
+// not be delayed.
+TEST_F(FinalAnswer, FloodOfPipelinedRequestsDoesNotDelayOtherClients) {
     start();
     net::Tcp::socket flood(io);
     flood.connect(sidecar->address());
     flood.non_blocking(true);
     const std::string many = times(request("listen", "flood"), 100);
     std::array<char, 65536> piece{};
-    const auto push = [&] {
+    const auto send_more = [&] {
         error_code ignored;
         flood.write_some(asio::buffer(many), ignored);
         while (!ignored) flood.read_some(asio::buffer(piece), ignored);
     };
-    until([&] { return push(), server_request_count() >= 200; });
+    until([&] { return send_more(), server_request_count() >= 200; });
     for (int i = 0; i < 8; ++i) send(request("deposit", "id-" + std::to_string(i), kTimeout));
-    expect_each_in_time(push);
-    for (const Asked& each : asked) {
+    expect_each_finished_in_time(send_more);
+    for (const SentRequest& each : sent_requests) {
         ASSERT_EQ(each.client->answers.size(), 1u);
         EXPECT_EQ(each.client->answers[0].result_int(), 200u);
     }
 }
 
-// ---- No memory ----
+// ---- Failing memory allocations ----
 
-// The sidecar on a thread of its own, with a loop as the program's: what one handler throws ends no other's
-// work.
+// Runs a sidecar in its own thread. Like the program's event loop, the thread catches an exception of a
+// handler and continues with the other handlers.
 class SidecarThread {
 public:
     explicit SidecarThread(config::Config config)
@@ -291,7 +302,7 @@
     SidecarThread(const SidecarThread&) = delete;
     SidecarThread& operator=(const SidecarThread&) = delete;
 
-    // What that call on the sidecar gives, made on its thread.
+    // Executes `call` with the sidecar in the sidecar's thread, and returns the result.
     template <class Call>
     auto ask(Call call) {
         std::packaged_task<decltype(call(std::declval<Sidecar&>()))()> task([&] { return call(sidecar_); });
@@ -299,14 +310,14 @@
         asio::post(io_, [&] { task(); });
         return result.get();
     }
-    // Until what has begun by now, and what follows from it at once, has been done.
+    // Waits until the handlers that are ready have run, and those that they post.
     void settle() {
         constexpr int kTurns = 4;
         for (int i = 0; i < kTurns; ++i) ask([](Sidecar&) {});
     }
     net::Tcp::endpoint address() const { return sidecar_.address(); }
 
-    std::atomic<int> thrown = 0;  // exceptions that reached the loop
+    std::atomic<int> thrown = 0;  // number of exceptions that have reached the event loop
 
 private:
     asio::io_context io_;
@@ -314,20 +325,20 @@
     std::thread thread_;
 };
 
-// One allocation fails on the way of each request, the first one, the second one and so on until a request
-// needs no more than that.
-struct NoMemory : FinalAnswer {
-    static constexpr int kShort = 40;  // ms, of each request
-    ScriptedServer::Script full_for_keyed = [](const auto& r) {
+// The tests let a single allocation fail while a request is handled: the first one, then the second one, and
+// so on, until the request needs no further allocation.
+struct AllocationFailure : FinalAnswer {
+    static constexpr int kShortTimeout = 40;  // ms, time-out of the requests
+    ScriptedServer::Script reject_annotate = [](const auto& r) {
         return r["Request-Class"] == "annotate" ? Reply{response("503 Full", "", "Not-Started: 1\r\n")}
                                                 : Reply{response("200 OK", "served")};
     };
-    // For each class what had no answer in time, by the number of the allocation that failed. Where only
-    // events are meant, without those whose exception reached the loop and those that the sidecar has given
-    // their answer.
+    // Returns for each class the numbers of the failed allocations with which a request had no response in
+    // time. With `only_events`, leaves out those whose exception reached the event loop and those whose
+    // request the sidecar no longer holds.
     std::map<std::string, std::vector<long>> unanswered(const std::vector<std::string>& classes,
                                                         bool only_events) {
-        std::map<std::string, std::vector<long>> lost;
+        std::map<std::string, std::vector<long>> unanswered_by_class;
         for (const std::string& kind : classes) {
             bool failed = true;
             for (long nth = 0; failed && nth < 400; ++nth) {
@@ -335,28 +346,29 @@
                 TestClient client(io, sidecar.address());
                 sidecar.settle();
                 const int thrown = sidecar.thrown;
-                const auto passed_over = [&] { return only_events && sidecar.thrown != thrown; };
+                const auto is_excluded = [&] { return only_events && sidecar.thrown != thrown; };
                 std::size_t sent = 0;
-                const auto over = [&] { return client.answers.size() >= sent || client.ended; };
+                const auto is_finished = [&] { return client.answers.size() >= sent || client.ended; };
                 const auto send = [&](const std::string& bytes) {
-                    if (!over() || client.ended || passed_over()) return;
+                    if (!is_finished() || client.ended || is_excluded()) return;
                     client.send(bytes);
                     ++sent;
-                    const auto by = SteadyClock::now() + milliseconds(kShort) + kSlack;
-                    until([&] { return over() || SteadyClock::now() > by || passed_over(); });
+                    const auto deadline = SteadyClock::now() + milliseconds(kShortTimeout) + kSlack;
+                    until([&] { return is_finished() || SteadyClock::now() > deadline || is_excluded(); });
                     sidecar.settle();
                 };
                 sidecar.ask([&](Sidecar&) { allocations_left = nth; });
                 send("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-                send(request(kind, kind + std::to_string(nth), kShort));
+                send(request(kind, kind + std::to_string(nth), kShortTimeout));
                 failed = sidecar.ask([](Sidecar&) { return std::exchange(allocations_left, -1) < 0; });
                 const bool held = sidecar.ask([](Sidecar& s) { return s.request_count() > 0; });
-                send(request(kind, kind + std::to_string(nth) + "-next", kShort));
-                if (!over() && !passed_over() && (held || !only_events)) lost[kind].push_back(nth);
+                send(request(kind, kind + std::to_string(nth) + "-next", kShortTimeout));
+                if (!is_finished() && !is_excluded() && (held || !only_events))
+                    unanswered_by_class[kind].push_back(nth);
             }
             EXPECT_FALSE(failed);
         }
-        return lost;
+        return unanswered_by_class;
     }
     config::Config config() const {
         return config::read_config(
@@ -364,19 +376,20 @@
     }
 };
 
-TEST_F(NoMemory, AnEventThatFailsTakesNoAnswerAway) {
-    a.script = b.script = full_for_keyed;
+TEST_F(AllocationFailure, RequestIsAnsweredIfAnEventFails) {
+    a.script = b.script = reject_annotate;
     EXPECT_EQ(unanswered({"listen", "deposit"}, true), (std::map<std::string, std::vector<long>>()));
 }
 
-TEST_F(NoMemory, WhateverFailsTakesNoAnswerAway) {
-    a.script = b.script = full_for_keyed;
+TEST_F(AllocationFailure, RequestIsAnsweredIfAnyAllocationFails) {
+    a.script = b.script = reject_annotate;
     EXPECT_EQ(unanswered(kinds, false), (std::map<std::string, std::vector<long>>()));
 }
 
-// Each step of taking a new connection, and what follows: it is served or ended, and so is the next one.
-TEST_F(NoMemory, AConnectionIsServedOrEndedAndTheNextOneIsServed) {
-    constexpr long kSteps = 40;  // from the connection to the answer: 18 allocations, on one machine
+// An allocation fails while a connection is accepted or its first request is handled. That connection must be
+// served or closed, and the next one must be served.
+TEST_F(AllocationFailure, ConnectionIsServedOrClosedAndNextOneIsServed) {
+    constexpr long kSteps = 40;  // One machine needed 18 allocations from the connection to the response.
     const std::string health = "GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n";
     for (long nth = 0; nth < kSteps; ++nth) {
         SidecarThread sidecar(config());
@@ -384,22 +397,23 @@
         sidecar.ask([&](Sidecar&) { allocations_left = nth; });
         TestClient first(io, sidecar.address());
         first.send(health);
-        const auto over = [&](const TestClient& c) { return !c.answers.empty() || c.ended; };
-        const auto by = SteadyClock::now() + kSlack;
-        until([&] { return over(first) || SteadyClock::now() > by; });
-        EXPECT_TRUE(over(first)) << nth;
+        const auto is_finished = [&](const TestClient& c) { return !c.answers.empty() || c.ended; };
+        const auto deadline = SteadyClock::now() + kSlack;
+        until([&] { return is_finished(first) || SteadyClock::now() > deadline; });
+        EXPECT_TRUE(is_finished(first)) << nth;
         sidecar.ask([](Sidecar&) { allocations_left = -1; });
         TestClient next(io, sidecar.address());
         next.send(health);
-        const auto next_by = SteadyClock::now() + kSlack;
-        until([&] { return over(next) || SteadyClock::now() > next_by; });
+        const auto next_deadline = SteadyClock::now() + kSlack;
+        until([&] { return is_finished(next) || SteadyClock::now() > next_deadline; });
         EXPECT_EQ(next.answers.size(), 1u) << nth;
     }
 }
 
-// The same of operators: the first call may end with no answer.
-TEST_F(NoMemory, AnOperatorsCallIsAnsweredAfterOneThatFailed) {
-    constexpr long kSteps = 40;  // more than taking a call needs
+// An allocation fails while an operator's call is handled. That call may remain without a response; the next
+// one must be answered.
+TEST_F(AllocationFailure, OperatorCallIsAnsweredAfterAFailedOne) {
+    constexpr long kSteps = 40;  // More than the number of allocations for a call.
     const std::string call = "GET /ready HTTP/1.1\r\nHost: operator\r\n\r\n";
     for (long nth = 0; nth < kSteps; ++nth) {
         config::Config config = this->config();
@@ -414,8 +428,8 @@
         sidecar.ask([](Sidecar&) { allocations_left = -1; });
         TestClient next(io, address);
         next.send(call);
-        const auto by = SteadyClock::now() + kSlack;
-        until([&] { return !next.answers.empty() || SteadyClock::now() > by; });
+        const auto deadline = SteadyClock::now() + kSlack;
+        until([&] { return !next.answers.empty() || SteadyClock::now() > deadline; });
         EXPECT_EQ(next.answers.size(), 1u) << nth;
     }
 }
--- a/tests/recorded_response_test.cpp
+++ b/tests/recorded_response_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Every byte of recorded conversations: the forms of a server's response, as a client receives them, and
-/// what is answered in their place.
+/// Compares every byte of recorded conversations. The tests cover the forms of a server's response as the
+/// client receives them, and the responses that the sidecar sends instead of unusable ones.
 #include "recorded_conversation_rig.hpp"
 
 namespace mothring::node::test {
@@ -8,9 +8,9 @@
 
 using RecordedResponse = RecordedConversation;
 
-// ---- Answers ----
+// ---- Responses ----
 
-TEST_F(RecordedResponse, AnswerInChunksPassedOnAsItComes) {
+TEST_F(RecordedResponse, ChunkedResponseIsStreamed) {
     start_recording({});
     RecordingClient& client = connect();
     client.send(get + "\r\n");
@@ -29,7 +29,7 @@
               "Host: app.svc\r\nRequest-Timeout-Ms: <varies>\r\n\r\n");
 }
 
-TEST_F(RecordedResponse, AnswerInChunksForHttp10EndsWithTheConnection) {
+TEST_F(RecordedResponse, ChunkedResponseForHttp10EndsWithConnection) {
     start_recording({});
     RecordingClient& client = connect();
     client.send(replace_first(get, "HTTP/1.1", "HTTP/1.0") + "Connection: keep-alive\r\n\r\n");
@@ -41,7 +41,7 @@
     EXPECT_EQ(client.received, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfirstsecond<closed>");
 }
 
-TEST_F(RecordedResponse, AnswerWithALengthPassedOnAsItComes) {
+TEST_F(RecordedResponse, LongResponseWithLengthIsStreamed) {
     constexpr std::size_t kSize = 1000000;
     start_recording({});
     const std::string body = body_of_size(kSize);
@@ -63,18 +63,18 @@
     EXPECT_TRUE(received.substr(body_at) == body + healthy);
 }
 
-TEST_F(RecordedResponse, SmallAnswerInChunks) {
+TEST_F(RecordedResponse, SmallChunkedResponseIsForwardedWithLength) {
     start_recording({{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n0\r\n\r\n"}});
     EXPECT_EQ(answer_to(get + "\r\n"), "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst" + healthy);
 }
 
-TEST_F(RecordedResponse, AnswerThatEndsWithItsConnection) {
+TEST_F(RecordedResponse, ResponseThatEndsWithConnectionIsReplacedBy503) {
     start_recording({{"HTTP/1.1 200 OK\r\nX-Kept: 1\r\n\r\na song", true}});
     EXPECT_EQ(answer_to(get + "\r\n"),
               "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n" + healthy);
 }
 
-TEST_F(RecordedResponse, AnswersWithoutABody) {
+TEST_F(RecordedResponse, ResponseWithoutBodyIsForwardedOnlyIfStatusIs200) {
     start_recording({{"HTTP/1.1 204 No Content\r\nX-Kept: 1\r\n\r\n"},
                      {"HTTP/1.1 304 Not Modified\r\nETag: \"x\"\r\n\r\n"},
                      {response("200 OK", "")}});
@@ -87,7 +87,7 @@
     EXPECT_EQ(server.complete_count(), 3u);
 }
 
-TEST_F(RecordedResponse, InterimAnswer) {
+TEST_F(RecordedResponse, InterimResponseIsSkipped) {
     start_recording({{"HTTP/1.1 100 Continue\r\n\r\n" + response("200 OK", "filed")}});
     EXPECT_EQ(answer_to(post + "Content-Length: 2\r\n\r\nhi"),
               "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfiled" + healthy);
@@ -144,25 +144,25 @@
               "Request-Timeout-Ms: <varies>\r\nContent-Length: 2\r\n\r\nhi");
 }
 
-TEST_F(RecordedResponse, SpoiltAnswers) {
+TEST_F(RecordedResponse, MalformedOrTruncatedResponseIsReplacedBy502) {
     for (const Reply& reply : {Reply{"nonsense\r\n\r\n"}, Reply{"", true}, Reply{"", false, true},
                                Reply{"HTTP/1.1 200 OK\r\nX", true},
                                Reply{"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\na so", true},
                                Reply{"HTTP/1.1 200 OK\r\nX: " + std::string(20000, 'x') + "\r\n\r\n"},
                                Reply{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}}) {
-        RecordingServer spoiling(io);
-        spoiling.replies = {reply};
-        start({{"s-a", spoiling.address()}});
+        RecordingServer malformed_server(io);
+        malformed_server.replies = {reply};
+        start({{"s-a", malformed_server.address()}});
         EXPECT_EQ(answer_to(post + "Content-Length: 2\r\n\r\nhi"),
                   "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n" + healthy)
             << reply.bytes;
-        EXPECT_EQ(spoiling.complete_count(), 1u);
+        EXPECT_EQ(malformed_server.complete_count(), 1u);
         recording_clients.clear();
         sidecar.reset();
     }
 }
 
-TEST_F(RecordedResponse, AnswerWithALengthThatBreaksOff) {
+TEST_F(RecordedResponse, TruncatedStreamedResponseClosesConnection) {
     start_recording({});
     RecordingClient& client = connect();
     client.send(post + "Content-Length: 2\r\n\r\nhi");
@@ -174,7 +174,7 @@
     EXPECT_EQ(client.received, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst<closed>");
 }
 
-TEST_F(RecordedResponse, AnswerInChunksThatBreaksOff) {
+TEST_F(RecordedResponse, MalformedChunkInStreamedResponseClosesConnection) {
     start_recording({});
     RecordingClient& client = connect();
     client.send(post + "Content-Length: 2\r\n\r\nhi");
@@ -186,7 +186,7 @@
     EXPECT_EQ(client.received, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n<closed>");
 }
 
-TEST_F(RecordedResponse, AnswerThatWouldEndWithTheConnectionAndBreaksOffIsReset) {
+TEST_F(RecordedResponse, TruncatedResponseThatEndsWithConnectionIsReset) {
     start_recording({});
     RecordingClient& client = connect();
     client.send(replace_first(post, "HTTP/1.1", "HTTP/1.0") + "Content-Length: 2\r\n\r\nhi");
@@ -200,7 +200,7 @@
 
 // ---- Draining ----
 
-TEST_F(RecordedResponse, DrainEndsEachConnectionWithItsAnswer) {
+TEST_F(RecordedResponse, DrainClosesEachConnectionAfterItsResponse) {
     start_recording({});
     RecordingClient& client = connect();
     client.send(post + "Content-Length: 2\r\n\r\nhi");
--- a/tests/sidecar_parts_test.cpp
+++ b/tests/sidecar_parts_test.cpp
@@ -1,4 +1,4 @@
-// The small parts of the sidecar, each by itself.
+// Unit tests of the sidecar's small classes.
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -19,12 +19,12 @@
 namespace mothring::node::test {
 namespace {
 
-struct PartsOnALoop : testing::Test {
+struct EventLoopParts : testing::Test {
     boost::asio::io_context io;
     net::Clock clock;
 };
 
-TEST_F(PartsOnALoop, AttemptsEndBeforeTimersFireAtOneTime) {
+TEST_F(EventLoopParts, AttemptDeadlinesAreReportedBeforeTimersOfSameTime) {
     std::vector<std::string> due;
     TimerQueue timers(io, clock, [&](const TimerQueue::Entry& entry) {
         const auto* const token = std::get_if<TimerToken>(&entry);
@@ -43,7 +43,7 @@
     EXPECT_EQ(due, (std::vector<std::string>{"attempt 0", "attempt 1", "timer 2", "timer 3", "timer 1"}));
 }
 
-TEST_F(PartsOnALoop, AGuardedHandlerDoesNothingOnceItsOwnerIsGone) {
+TEST_F(EventLoopParts, GuardedHandlerDoesNothingAfterGuardIsDestroyed) {
     int calls = 0;
     std::optional<LifetimeGuard> guard(std::in_place);
     const auto handler = guard->while_alive([&] { ++calls; });
@@ -55,7 +55,7 @@
     EXPECT_EQ(calls, 1);
 }
 
-TEST_F(PartsOnALoop, TheSweepTimesOutWhatWasHeldAtAFailureAndIsOverdue) {
+TEST_F(EventLoopParts, SweepTimesOutOverdueRequestsHeldAtFailure) {
     RequestTable requests;
     std::vector<RequestId> timed_out;
     OverdueSweep sweep(io, clock, requests, [&](RequestId id) {
@@ -71,12 +71,12 @@
     sweep.watch_all();
     requests.add(4).deadline = clock.now();
     sweep.schedule();
-    io.run();  // until no suspect is left
+    io.run();  // Returns when no watched request is left.
     EXPECT_EQ(timed_out, std::vector<RequestId>{1});
     EXPECT_EQ(requests.size(), 3U);
 }
 
-TEST(RequestTable, ARequestIsHeldUntilItHasEndedAndItsAttemptsToo) {
+TEST(RequestTable, RequestIsErasedOnlyAfterItAndItsAttemptsHaveEnded) {
     RequestTable requests;
     requests.add(1).attempts.push_back({});
     requests.forget_if_done(1);
@@ -92,7 +92,7 @@
     EXPECT_EQ(requests.size(), 0U);
 }
 
-TEST(InFlightRequests, EachIsCountedOnceByItsOutcome) {
+TEST(InFlightRequests, EachRequestIsCountedOnceByItsOutcome) {
     Metrics metrics({"listen"});
     InFlightRequests in_flight(metrics);
     for (const RequestId id : {1, 2, 3}) in_flight.add(id, 0);
@@ -108,7 +108,7 @@
     EXPECT_EQ(metrics.classes.front().failed, 1U);
 }
 
-TEST(ResourceLimits, TwoProcessesUseHalfEach) {
+TEST(ResourceLimits, OverlappingProcessUsesHalfOfItsLimits) {
     ResourceLimits limits(1024, 192);
     EXPECT_EQ(limits.connections_per_side(), 500U);
     EXPECT_EQ(limits.buffer_bytes(), 48U << 20);
--- a/tests/unread_ages_test.cpp
+++ b/tests/unread_ages_test.cpp
@@ -1,4 +1,4 @@
-// For how long bytes that stand unread may have done so, in a time that the tests set.
+// Tests of UnreadAges with time points that the tests choose.
 #include "node/unread_ages.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
     }
 };
 
-TEST_F(UnreadAgesTest, NothingIsUnreadAtFirst) {
+TEST_F(UnreadAgesTest, NoBytesAreUnreadInitially) {
     EXPECT_FALSE(ages.has_unread());
     EXPECT_EQ(ages.age(at(100)), 0);
     ages.note_read(10, at(100));
@@ -27,7 +27,7 @@
     EXPECT_EQ(counts, 0);
 }
 
-TEST_F(UnreadAgesTest, TimeCountsFromTheFirstNote) {
+TEST_F(UnreadAgesTest, AgeCountsFromFirstUnreadBytes) {
     unread = 10;
     ages.note_unread(at(100));
     ages.note_unread(at(150));
@@ -36,7 +36,7 @@
     EXPECT_EQ(counts, 1);
 }
 
-TEST_F(UnreadAgesTest, BytesThatWereCountedKeepTheirAge) {
+TEST_F(UnreadAgesTest, CountedBytesKeepTheirAge) {
     unread = 10;
     ages.note_unread(at(100));
     ages.note_read(4, at(200));
@@ -45,8 +45,8 @@
     EXPECT_EQ(counts, 1);
 }
 
-// They came after the count, and so did those that stand unread behind them by now.
-TEST_F(UnreadAgesTest, BytesBeyondTheCountAreAsOldAsTheCount) {
+// Bytes beyond the count arrived after it, and so did all bytes behind them that are unread at that time.
+TEST_F(UnreadAgesTest, BytesBeyondCountAreAsOldAsCount) {
     unread = 10;
     ages.note_unread(at(100));
     ages.note_read(10, at(200));
@@ -61,14 +61,14 @@
     EXPECT_EQ(counts, 3);
 }
 
-TEST_F(UnreadAgesTest, ReadingNothingChangesNothing) {
+TEST_F(UnreadAgesTest, ReadOfNoBytesKeepsAge) {
     ages.note_unread(at(100));
     ages.note_read(0, at(200));
     EXPECT_EQ(ages.age(at(200)), 100);
     EXPECT_EQ(counts, 1);
 }
 
-TEST_F(UnreadAgesTest, OnceAllIsReadItBeginsAnew) {
+TEST_F(UnreadAgesTest, AgeRestartsAfterAllBytesAreRead) {
     ages.note_unread(at(100));
     ages.note_all_read();
     EXPECT_FALSE(ages.has_unread());
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -1,4 +1,5 @@
-// How each exchange with a server ends, by the protocol's table, and which connection it is given.
+// Tests of UpstreamPool: the outcome of an exchange for each kind of response or failure, and the reuse,
+// closing and limit of connections.
 #include "net_rig.hpp"
 
 namespace mothring::node::test {
@@ -6,7 +7,7 @@
 
 constexpr ServerId kServer = 7;
 
-struct UpstreamTest : testing::Test {
+struct UpstreamPoolTest : testing::Test {
     asio::io_context io;
     std::optional<UpstreamPool> upstream;
     struct End {
@@ -15,12 +16,13 @@
     };
     std::vector<End> ends;
 
-    UpstreamTest() { make({}); }
+    UpstreamPoolTest() { create_pool({}); }
     std::shared_ptr<net::BufferBudget> budget =
         std::make_shared<net::BufferBudget>(net::BufferBudget{16 << 20});
-    void make(UpstreamPool::Limits limits) { upstream.emplace(io, limits, budget); }
-    // A body of which that much has come.
-    std::shared_ptr<net::BodyBuffer> come(const std::string& bytes, std::optional<std::uint64_t> length) {
+    void create_pool(UpstreamPool::Limits limits) { upstream.emplace(io, limits, budget); }
+    // Returns a body of which these bytes have been received.
+    std::shared_ptr<net::BodyBuffer> received_body(const std::string& bytes,
+                                                   std::optional<std::uint64_t> length) {
         auto body = std::make_shared<net::BodyBuffer>(budget, length);
         EXPECT_GE(body->free_space(), bytes.size());
         bytes.copy(body->write_pointer(), bytes.size());
@@ -30,7 +32,7 @@
     }
     void until(const std::function<bool()>& reached) { run_until(io, reached); }
 
-    UpstreamPool::OnResponseStarted begun;
+    UpstreamPool::OnResponseStarted on_response_started;
     ExchangeId start(const std::shared_ptr<net::BodyBuffer>& body = nullptr) {
         UpstreamPool::Request request;
         request.message.method(http::verb::post);
@@ -41,9 +43,10 @@
             [this](Outcome outcome, UpstreamPool::Response response) {
                 ends.push_back({outcome, std::move(response)});
             },
-            begun);
+            on_response_started);
     }
-    End one(const net::Tcp::endpoint& address) {
+    // Sends a request to that address and waits for the end of the exchange.
+    End end_of_request(const net::Tcp::endpoint& address) {
         upstream->set_server(kServer, address, 0);
         const std::size_t before = ends.size();
         start();
@@ -52,18 +55,18 @@
     }
     Outcome outcome_of(const Reply& reply) {
         ScriptedServer server(io, [&](const auto&) { return reply; });
-        return one(server.endpoint()).outcome;
+        return end_of_request(server.endpoint()).outcome;
     }
 };
 
-TEST_F(UpstreamTest, AWholeAnswerIsServedWithItsBody) {
+TEST_F(UpstreamPoolTest, CompleteResponseIsReportedWithItsBody) {
     ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK", "a song")}; });
-    const End end = one(server.endpoint());
+    const End end = end_of_request(server.endpoint());
     EXPECT_EQ(end.outcome, Outcome::completed);
     EXPECT_EQ(end.response.body(), "a song");
 }
 
-TEST_F(UpstreamTest, OnlyTheProofTellsThatItNeverRan) {
+TEST_F(UpstreamPoolTest, OnlyNotStartedHeaderOn503Or504ProvesThatRequestNeverRan) {
     EXPECT_EQ(outcome_of({response("500 Oops")}), Outcome::failed);
     EXPECT_EQ(outcome_of({response("503 Full", "", "Not-Started: 1\r\n")}), Outcome::overloaded);
     EXPECT_EQ(outcome_of({response("504 Over", "", "Not-Started: 1\r\n")}), Outcome::overloaded);
@@ -75,19 +78,20 @@
     EXPECT_EQ(outcome_of({response("429 Later")}), Outcome::failed);
 }
 
-// The proof stands in the header: a body that is cut off takes nothing from it.
-TEST_F(UpstreamTest, ACutOffRefusalIsStillAProof) {
+// The header alone proves that the request never ran, so a truncated body must not change the outcome.
+TEST_F(UpstreamPoolTest, TruncatedRejectionStillProvesThatRequestNeverRan) {
     EXPECT_EQ(outcome_of({"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 9\r\n\r\nfu", true}),
               Outcome::overloaded);
 }
 
-TEST_F(UpstreamTest, AConnectionThatEndsAfterTheRequestMayHaveRun) {
+TEST_F(UpstreamPoolTest, ConnectionEndAfterRequestIsConnectionLost) {
     EXPECT_EQ(outcome_of({"", true}), Outcome::connection_lost);
     EXPECT_EQ(outcome_of({"", false, true}), Outcome::connection_lost);
 }
 
-// Never serve what no server made: a body that is cut off, without a stated end, too long, or no HTTP at all.
-TEST_F(UpstreamTest, ATruncatedOrGarbledAnswerIsNoAnswer) {
+// A response must not be forwarded if its body is truncated, has no recognizable end, or is too long, or if
+// it is not HTTP.
+TEST_F(UpstreamPoolTest, TruncatedOrMalformedResponseIsConnectionLost) {
     EXPECT_EQ(outcome_of({"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", true}),
               Outcome::connection_lost);
     EXPECT_EQ(outcome_of({"HTTP/1.1 200 OK\r\n\r\nuntil the end", true}), Outcome::connection_lost);
@@ -97,52 +101,54 @@
               Outcome::connection_lost);
 }
 
-TEST_F(UpstreamTest, AnInterimAnswerIsNotTheAnswer) {
+TEST_F(UpstreamPoolTest, InterimResponseIsSkipped) {
     EXPECT_EQ(outcome_of({"HTTP/1.1 100 Continue\r\n\r\n" + response("200 OK")}), Outcome::completed);
 }
 
-TEST_F(UpstreamTest, ARefusedConnectionProvesThatItNeverRan) {
+TEST_F(UpstreamPoolTest, RefusedConnectionIsConnectFailed) {
     ScriptedServer server(io, {});
     server.close();
-    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::connect_failed);
+    EXPECT_EQ(end_of_request(server.endpoint()).outcome, Outcome::connect_failed);
 }
 
-// A machine that vanished says nothing: the connection never comes up. A full backlog behaves alike.
-TEST_F(UpstreamTest, AConnectionThatNeverComesUpIsGivenUp) {
-    net::Tcp::acceptor deaf(io, net::Tcp::v4());
-    deaf.bind(any_port);
-    deaf.listen(0);
-    std::list<net::Tcp::socket> filling;
+// A machine that has crashed does not answer, so the connection is never established. A full backlog has the
+// same effect.
+TEST_F(UpstreamPoolTest, ConnectionThatIsNotEstablishedTimesOut) {
+    net::Tcp::acceptor full_backlog(io, net::Tcp::v4());
+    full_backlog.bind(any_port);
+    full_backlog.listen(0);
+    std::list<net::Tcp::socket> backlog;
     for (int i = 0; i < 4; ++i) {
-        filling.emplace_back(io, net::Tcp::v4());
-        filling.back().async_connect(deaf.local_endpoint(), [](error_code) {});
+        backlog.emplace_back(io, net::Tcp::v4());
+        backlog.back().async_connect(full_backlog.local_endpoint(), [](error_code) {});
     }
-    make({20, 1000, 8});
-    EXPECT_EQ(one(deaf.local_endpoint()).outcome, Outcome::connect_failed);
+    create_pool({20, 1000, 8});
+    EXPECT_EQ(end_of_request(full_backlog.local_endpoint()).outcome, Outcome::connect_failed);
     EXPECT_EQ(upstream->stats().open, 0u);
 }
 
-// Broken before the last byte was written: it can't have run, and an unsafe request may go elsewhere.
-TEST_F(UpstreamTest, AConnectionThatBreaksWithinTheRequestProvesThatItNeverRan) {
+// A request whose last byte was not written can't have run, so a request that is not idempotent may be sent
+// to another server.
+TEST_F(UpstreamPoolTest, ConnectionResetDuringRequestIsConnectFailed) {
     net::Tcp::acceptor acceptor(io, any_port);
     std::optional<net::Tcp::socket> accepted;
     acceptor.async_accept([&](error_code, net::Tcp::socket socket) { accepted.emplace(std::move(socket)); });
     upstream->set_server(kServer, acceptor.local_endpoint(), 0);
-    start(come(std::string(60000, 'x'), 1 << 20));
+    start(received_body(std::string(60000, 'x'), 1 << 20));
     until([&] { return accepted.has_value(); });
-    bool begun = false;
-    accepted->async_wait(net::Tcp::socket::wait_read, [&](error_code) { begun = true; });
-    until([&] { return begun; });
+    bool is_readable = false;
+    accepted->async_wait(net::Tcp::socket::wait_read, [&](error_code) { is_readable = true; });
+    until([&] { return is_readable; });
     accepted->set_option(asio::socket_base::linger(true, 0));
     accepted->close();
     until([&] { return !ends.empty(); });
     EXPECT_EQ(ends.at(0).outcome, Outcome::connect_failed);
 }
 
-TEST_F(UpstreamTest, WhatIsStoppedMayHaveRunOnceItWasWritten) {
+TEST_F(UpstreamPoolTest, CancelReturnsWhetherRequestWasWritten) {
     ScriptedServer server(io, [](const auto&) { return Reply{}; });
     upstream->set_server(kServer, server.endpoint(), 0);
-    EXPECT_FALSE(upstream->cancel(start())) << "not even connected";
+    EXPECT_FALSE(upstream->cancel(start())) << "the connection is not established yet";
     const ExchangeId second = start();
     until([&] { return server.requests.size() == 1; });
     EXPECT_TRUE(upstream->cancel(second));
@@ -151,11 +157,12 @@
     EXPECT_TRUE(ends.empty());
 }
 
-// The last byte of a body of a stated length goes out before its end is told.
-TEST_F(UpstreamTest, WhatIsStoppedRightWithItsLastByteMayHaveRun) {
+// If the length is known, the last byte of a body is sent before the body is marked as complete. A
+// cancellation in between must report that the request may have run.
+TEST_F(UpstreamPoolTest, CancelAfterLastBodyByteReportsRequestAsWritten) {
     ScriptedServer server(io, [](const auto&) { return Reply{}; });
     upstream->set_server(kServer, server.endpoint(), 0);
-    const auto body = come("a b", 6);
+    const auto body = received_body("a b", 6);
     const ExchangeId exchange = start(body);
     until([&] {
         return server.connections.size() == 1 && server.connections[0]->parser->is_header_done() &&
@@ -168,7 +175,7 @@
     until([&] { return server.requests.size() == 1; });
 }
 
-TEST_F(UpstreamTest, TheMostRecentlyUsedIdleConnectionIsUsedAgain) {
+TEST_F(UpstreamPoolTest, MostRecentlyUsedIdleConnectionIsReused) {
     ScriptedServer server(io, [](const auto&) { return Reply{}; });
     upstream->set_server(kServer, server.endpoint(), 0);
     start(), start();
@@ -184,83 +191,87 @@
     EXPECT_EQ(upstream->stats().opened, 2u);
 }
 
-// A server closes what has idled: its end is noticed, and the next request does not run into it.
-TEST_F(UpstreamTest, AnIdleConnectionThatHasEndedIsNotUsed) {
+// A server may close an idle connection at any time. The pool must detect that before it sends the next
+// request, also if the event loop has not reported it yet.
+TEST_F(UpstreamPoolTest, ClosedIdleConnectionIsNotReused) {
     ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK")}; });
-    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::completed);
-    const auto end = [&](bool reset) {  // and no turn of the loop for the sidecar to hear of it
+    EXPECT_EQ(end_of_request(server.endpoint()).outcome, Outcome::completed);
+    const auto end = [&](bool reset) {  // The event loop does not run after the close.
         wait_for_connection_reuse(io);
         const auto& last = server.connections.back();
         if (reset) last->socket.set_option(asio::socket_base::linger(true, 0));
         last->socket.close();
     };
     end(false);
-    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::completed);
+    EXPECT_EQ(end_of_request(server.endpoint()).outcome, Outcome::completed);
     EXPECT_EQ(server.connections.size(), 2u);
     end(true);
-    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::completed);
+    EXPECT_EQ(end_of_request(server.endpoint()).outcome, Outcome::completed);
     EXPECT_EQ(server.connections.size(), 3u);
 }
 
-// The end crosses the request: it may have run, and is not sent again behind the module's back.
-TEST_F(UpstreamTest, AStaleConnectionGetsNoHiddenResend) {
+// If the server closes the connection while a request is in flight, the request may have run. The pool must
+// report that and must not resend it.
+TEST_F(UpstreamPoolTest, RequestOnConnectionClosedByServerIsNotResent) {
     ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK")}; });
-    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::completed);
+    EXPECT_EQ(end_of_request(server.endpoint()).outcome, Outcome::completed);
     server.script = [](const auto&) { return Reply{"", true}; };
     wait_for_connection_reuse(io);
-    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::connection_lost);
+    EXPECT_EQ(end_of_request(server.endpoint()).outcome, Outcome::connection_lost);
     EXPECT_EQ(server.requests.size(), 2u);
     EXPECT_EQ(server.connections.size(), 1u);
 }
 
-// Bytes that nobody asked for must not become the next request's answer.
-TEST_F(UpstreamTest, UnaskedBytesEndAnIdleConnection) {
+// Unsolicited bytes on an idle connection must not be taken for the response to the next request.
+TEST_F(UpstreamPoolTest, UnsolicitedBytesCloseIdleConnection) {
     ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK", "asked")}; });
-    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::completed);
+    EXPECT_EQ(end_of_request(server.endpoint()).outcome, Outcome::completed);
     server.send(0, response("200 OK", "unasked"));
-    EXPECT_EQ(one(server.endpoint()).response.body(), "asked");
+    EXPECT_EQ(end_of_request(server.endpoint()).response.body(), "asked");
     EXPECT_EQ(server.connections.size(), 2u);
 }
 
-// A second answer arrives some milliseconds after the first, right after the next request has gone out:
-// nothing in it tells that it is not that one's.
-TEST_F(UpstreamTest, ASecondAnswerIsNotTakenForTheNextRequests) {
-    make({250, 14000, 512, 50, 60000});  // no machine is slow enough to have it rested
+// A faulty server sends a second response a few milliseconds after the first, when the next request has
+// already been sent. Nothing in the response shows that it does not belong to that request.
+TEST_F(UpstreamPoolTest, UnsolicitedSecondResponseIsNotTakenForNextRequest) {
+    // The reuse delay is longer than the test runs, also on a slow machine.
+    create_pool({250, 14000, 512, 50, 60000});
     ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK", "first")}; });
-    EXPECT_EQ(one(server.endpoint()).response.body(), "first");
+    EXPECT_EQ(end_of_request(server.endpoint()).response.body(), "first");
     server.script = [&](const auto&) {
         server.send(0, response("200 OK", "second to the first"));
         return Reply{response("200 OK", "the next")};
     };
-    EXPECT_EQ(one(server.endpoint()).response.body(), "the next");
+    EXPECT_EQ(end_of_request(server.endpoint()).response.body(), "the next");
     until([&] { return server.ended_count() == 1; });
     EXPECT_TRUE(server.connections.at(0)->ended);
     EXPECT_EQ(server.connections.at(0)->requests, 1u);
 }
 
-TEST_F(UpstreamTest, AnIdleConnectionIsClosedBeforeTheServerWould) {
-    make({250, 20, 8});
+// The pool must close an idle connection before the server's own idle time-out does.
+TEST_F(UpstreamPoolTest, IdleConnectionIsClosedAfterIdleTimeout) {
+    create_pool({250, 20, 8});
     ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK")}; });
-    EXPECT_EQ(one(server.endpoint()).outcome, Outcome::completed);
+    EXPECT_EQ(end_of_request(server.endpoint()).outcome, Outcome::completed);
     until([&] { return server.ended_count() == 1; });
     EXPECT_EQ(upstream->stats().open, 0u);
 }
 
-TEST_F(UpstreamTest, AServerThatMovesIsMetAtItsNewAddress) {
+TEST_F(UpstreamPoolTest, ChangedServerAddressClosesOldConnectionAndUsesNewOne) {
     ScriptedServer before(io, [](const auto&) { return Reply{response("200 OK", "old")}; });
     ScriptedServer after(io, [](const auto&) { return Reply{response("200 OK", "new")}; });
-    EXPECT_EQ(one(before.endpoint()).response.body(), "old");
-    EXPECT_EQ(one(after.endpoint()).response.body(), "new");
+    EXPECT_EQ(end_of_request(before.endpoint()).response.body(), "old");
+    EXPECT_EQ(end_of_request(after.endpoint()).response.body(), "new");
     until([&] { return before.ended_count() == 1; });
 }
 
-// At the bound the connection idle longest makes room; where none is idle, nothing is sent.
-// At our own bound nothing is issued, and that is no failure of the server.
-TEST_F(UpstreamTest, ConnectionsAreBounded) {
-    make({250, 10000, 1});
+// At the limit the connection that has been idle longest is closed to open another one. If no connection is
+// idle, nothing is sent, and the outcome must not count against the server.
+TEST_F(UpstreamPoolTest, ConnectionLimitClosesIdleConnectionOrLeavesRequestUnsent) {
+    create_pool({250, 10000, 1});
     ScriptedServer first(io, [](const auto&) { return Reply{response("200 OK")}; });
     ScriptedServer second(io, [](const auto&) { return Reply{}; });
-    EXPECT_EQ(one(first.endpoint()).outcome, Outcome::completed);
+    EXPECT_EQ(end_of_request(first.endpoint()).outcome, Outcome::completed);
     upstream->set_server(kServer + 1, second.endpoint(), 0);
     UpstreamPool::Request ping;
     ping.message.method(http::verb::get);
@@ -268,7 +279,7 @@
     upstream->start(kServer + 1, std::move(ping), [](Outcome, const auto&) {});
     until([&] { return second.requests.size() == 1 && first.ended_count() == 1; });
     EXPECT_EQ(upstream->stats().open, 1u);
-    EXPECT_EQ(one(first.endpoint()).outcome, Outcome::not_sent);
+    EXPECT_EQ(end_of_request(first.endpoint()).outcome, Outcome::not_sent);
     EXPECT_EQ(first.requests.size(), 1u);
 }
 
