--- a/src/node/connection_limit.cpp
+++ b/src/node/connection_limit.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-constexpr std::size_t kSparePart = 16;  // of the limit, for connections on their way out
+// One sixteenth of the limit is reserved for connections that are shutting down.
+constexpr std::size_t kShutdownReserveDivisor = 16;
 
 }  // namespace
 
@@ -28,37 +29,39 @@
     return static_cast<std::size_t>(std::ranges::count_if(connections_, is_shutting_down));
 }
 
-bool ConnectionLimit::make_room(const std::function<bool()>& has_newcomer) {
-    const std::size_t most = limit_ - limit_ / kSparePart;
-    if (connections_.size() < most) return true;
+bool ConnectionLimit::ensure_capacity(const std::function<bool()>& has_pending_connection) {
+    const std::size_t unreserved_limit = limit_ - limit_ / kShutdownReserveDivisor;
+    if (connections_.size() < unreserved_limit) return true;
     std::vector<Candidate> order = candidates();
-    std::size_t leaving = shutting_down_count();
+    std::size_t shutting_down = shutting_down_count();
     const auto is_later = [](const Candidate& left, const Candidate& right) {
         return std::tie(left.rank, left.active_at) > std::tie(right.rank, right.active_at);
     };
     std::ranges::make_heap(order, is_later);
-    const bool is_pressed = is_reached() && has_newcomer();
-    const auto needs_room = [&] { return is_pressed ? is_reached() : connections_.size() - leaving >= most; };
-    while (!order.empty() && needs_room()) {
+    const bool must_close_at_once = is_reached() && has_pending_connection();
+    const auto needs_capacity = [&] {
+        return must_close_at_once ? is_reached() : connections_.size() - shutting_down >= unreserved_limit;
+    };
+    while (!order.empty() && needs_capacity()) {
         const ConnectionPtr connection = order.front().connection;
         if (connection->has_read_all()) {
-            if (is_pressed)
+            if (must_close_at_once)
                 connection->close();
             else
                 connection->evict();
         }
-        if (connection->is_shutting_down()) ++leaving;
+        if (connection->is_shutting_down()) ++shutting_down;
         std::ranges::pop_heap(order, is_later);
         order.pop_back();
     }
     return !is_reached();
 }
 
-void ConnectionLimit::set_limit(std::size_t limit, const std::function<bool()>& has_newcomer) {
+void ConnectionLimit::set_limit(std::size_t limit, const std::function<bool()>& has_pending_connection) {
     limit_ = limit;
     while (connections_.size() > limit_) {
         const std::size_t before = connections_.size();
-        make_room(has_newcomer);
+        ensure_capacity(has_pending_connection);
         if (connections_.size() == before) return;
     }
 }
--- a/src/node/connection_limit.hpp
+++ b/src/node/connection_limit.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which connections make room for others.
+/// The limit on open downstream connections, and which of them are evicted to keep to it.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,26 @@
 
 namespace mothring::node::downstream {
 
-/// A bound on the connections open at a time. Near it the connection of least use makes room, of those alike
-/// the one that has been so longest. A shutdown in order takes until the client's own, or a while: a part of
-/// the bound is for connections on their way out. Where a newcomer waits already, the connection is closed at
-/// once instead.
+/// Limits the number of open connections. Near the limit it evicts the connection with the lowest eviction
+/// rank, and of those with equal rank the least recently active one. A graceful shutdown lasts until the
+/// client closes too or a time-out expires, so part of the limit is reserved for connections that are
+/// shutting down. If the limit is reached and a new connection is pending already, the evicted connection is
+/// closed at once instead.
 class ConnectionLimit {
 public:
     using Connections = std::unordered_set<ConnectionPtr>;
 
-    /// @param connections  all that are open; a connection that is closed leaves them.
+    /// @param connections  all open connections; closed ones are removed from the set by its owner.
     ConnectionLimit(const Connections& connections, std::size_t limit)
         : connections_(connections), limit_(limit) {}
 
-    /// @return whether there is room for another connection. Else accepting has to wait.
-    /// @param has_newcomer  whether a client waits to be accepted; asked only where that matters.
-    bool make_room(const std::function<bool()>& has_newcomer);
-    /// Idle connections make room at once, the others as they end.
-    void set_limit(std::size_t limit, const std::function<bool()>& has_newcomer);
+    /// Evicts connections as necessary to have capacity for a new one.
+    /// @param has_pending_connection  returns whether a new connection is pending; called only if the limit
+    /// is reached.
+    /// @return whether another connection may be accepted now.
+    bool ensure_capacity(const std::function<bool()>& has_pending_connection);
+    /// Sets the limit and evicts excess connections at once. Those that are needed count until they end.
+    void set_limit(std::size_t limit, const std::function<bool()>& has_pending_connection);
     bool is_reached() const { return connections_.size() >= limit_; }
 
 private:
--- a/src/node/downstream_connection.cpp
+++ b/src/node/downstream_connection.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-constexpr Millis kReaderTimeout = 10000;  // of a client that reads nothing of its response
-constexpr Millis kLinger = 300;           // for a client's end, after ours
-constexpr Millis kLongestLinger = 3000;   // where the client goes on sending
-constexpr Millis kLongIdle = 2000;
+constexpr Millis kReaderTimeout = 10000;    // for a client that reads nothing of its response
+constexpr Millis kLingerTimeout = 300;      // for the client to close after our shutdown
+constexpr Millis kMaxLingerTimeout = 3000;  // the same in total, if the client keeps sending
+constexpr Millis kLongIdleTime = 2000;      // after it, an idle connection is evicted earlier
 
 Response plain_response(http::status status) {
     Response response(status, kHttp11);
@@ -50,13 +50,13 @@
 
 void Connection::start() {
     active_at_ = SteadyClock::now();
-    close_at(timeouts_.connect(active_at_));
+    close_at(timeouts_.on_connected(active_at_));
     wait_readable();
 }
 
-// ---- What can be seen of it ----
+// ---- Observers ----
 
-// What reading one byte would give; it stays where it is.
+// Peeks at one byte and returns the error that reading it would give.
 error_code Connection::peek() {
     char byte = 0;
     return net::retry_while_interrupted([&](error_code& error) {
@@ -80,16 +80,17 @@
     if (state_ == State::reading_head) return EvictionRank::within_head;
     if (state_ != State::idle) return EvictionRank::needed;
     if (timeouts_.awaits_first_request()) return EvictionRank::awaits_first_request;
-    const bool for_long = SteadyClock::now() - active_at_ >= net::to_duration(kLongIdle);
+    const bool for_long = SteadyClock::now() - active_at_ >= net::to_duration(kLongIdleTime);
     return for_long ? EvictionRank::idle_for_long : EvictionRank::idle;
 }
 
-// Whether a request is yet to come, or its rest.
+// Returns whether the next request, or the rest of the current one, has still to arrive.
 bool Connection::is_request_incomplete() const {
     return state_ < State::waiting || (state_ == State::waiting && is_receiving_body());
 }
 
-// Whether it is kept after the response. A drain ends it with the response to the last request that was read.
+// Returns whether the connection is kept open after the response. A draining listener closes it after the
+// response to the last request that was read.
 bool Connection::stays_open() {
     return keep_alive_ && !is_receiving_body() && (!owner_->is_draining() || has_more_requests());
 }
@@ -120,7 +121,7 @@
 }
 
 void Connection::reject(http::status status) {
-    if (state_ == State::responding) return;  // the connection ends with that response
+    if (state_ == State::responding) return;  // the response that is being written ends the connection
     if (id_ != 0) {
         owner_->remove_request(id_);
         owner_->callbacks().on_client_disconnected(id_);
@@ -145,17 +146,17 @@
     lift_time_limit();
     if (!complete) return close();
     const bool was_last = has_ended_reading_ && parser_.buffered() == 0;
-    if (!keep_alive || leaves_unread || was_last) return shut_down(kLongestLinger);
+    if (!keep_alive || leaves_unread || was_last) return shut_down(kMaxLingerTimeout);
     state_ = State::idle;
     active_at_ = SteadyClock::now();
     note_next_request();
-    owner_->became_idle();
+    owner_->on_idle();
     if (parser_.buffered() > 0) return read();
     parser_.release_unused_memory();
     wait_readable();
 }
 
-// ---- Its end ----
+// ---- Closing ----
 
 void Connection::close() {
     if (!owner_) return;
@@ -171,26 +172,26 @@
         owner->callbacks().on_client_disconnected(id_);
     }
     report_response_ended(*owner, false);
-    owner->closed(self());
+    owner->on_closed(self());
 }
 
-void Connection::shut_down(Millis longest) {
+void Connection::shut_down(Millis max_wait) {
     state_ = State::shutting_down;
     error_code ignored;
     socket_.shutdown(net::Tcp::socket::shutdown_send, ignored);
-    shutdown_time_limit_ = SteadyClock::now() + net::to_duration(longest);
-    close_at(SteadyClock::now() + net::to_duration(kLinger));
+    shutdown_time_limit_ = SteadyClock::now() + net::to_duration(max_wait);
+    close_at(SteadyClock::now() + net::to_duration(kLingerTimeout));
     discard();
 }
 
-// What comes now is not forwarded any more.
+// Reads and discards bytes until the client closes; they are not forwarded.
 void Connection::discard() {
     parser_.discard();
-    socket_.async_read_some(parser_.prepare(RequestParser::kHeadPiece),
+    socket_.async_read_some(parser_.prepare(RequestParser::kHeadReadSize),
                             [connection = self()](error_code failed, std::size_t) {
                                 if (failed) return connection->close();
                                 if (!connection->owner_) return;
-                                const TimePoint next = SteadyClock::now() + net::to_duration(kLinger);
+                                const TimePoint next = SteadyClock::now() + net::to_duration(kLingerTimeout);
                                 connection->close_at(std::min(connection->shutdown_time_limit_, next));
                                 connection->discard();
                             });
@@ -198,14 +199,14 @@
 
 void Connection::shut_down_if_idle() {
     const bool is_idle = state_ == State::idle && parser_.buffered() == 0 && has_read_all();
-    if (is_idle) shut_down(kLongestLinger);
+    if (is_idle) shut_down(kMaxLingerTimeout);
 }
 
 void Connection::evict() {
     if (timeouts_.awaits_first_request() || state_ != State::idle)
         close();
     else
-        shut_down(kLinger);
+        shut_down(kLingerTimeout);
 }
 
 void Connection::end_reading() {
@@ -217,7 +218,7 @@
 }
 
 void Connection::reject_incomplete() {
-    if (state_ == State::idle) return shut_down(kLinger);
+    if (state_ == State::idle) return shut_down(kLingerTimeout);
     if (id_ == 0 || is_receiving_body()) reject(http::status::service_unavailable);
 }
 
@@ -238,10 +239,10 @@
     timer_.cancel();
 }
 
-void Connection::limit_body_time() { close_at(timeouts_.body_due(SteadyClock::now())); }
+void Connection::limit_body_time() { close_at(timeouts_.body_deadline(SteadyClock::now())); }
 
-// A client that has sent no complete request is shut down in order; one that does not read is not waited for.
-// What has come up to now is read first.
+// Reads first what has arrived by now. A connection without a complete request is then shut down gracefully;
+// a client that does not read its response is disconnected at once.
 void Connection::on_time_limit() {
     if (is_request_incomplete()) {
         read();
@@ -250,7 +251,7 @@
     }
     const bool is_unreported = id_ == 0 && state_ < State::waiting;
     if (is_unreported)
-        shut_down(kLinger);
+        shut_down(kLingerTimeout);
     else
         close();
 }
--- a/src/node/downstream_connection.hpp
+++ b/src/node/downstream_connection.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One connection of the application.
+/// One client connection of the downstream listener.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,31 +23,32 @@
 class Connection;
 using ConnectionPtr = std::shared_ptr<Connection>;
 
-/// In which order connections make room for others: the least first.
+/// Order in which connections are evicted to free capacity for new ones: lowest value first.
 enum class EvictionRank {
     awaits_first_request,
-    idle_for_long,  // clients expect no connection to be kept for longer
+    idle_for_long,  // clients do not expect a connection to be kept longer than this
     within_head,
     idle,
-    needed,  // never makes room: it is owed a response, or on its way out
+    needed,  // never evicted: a request awaits its response, or the connection is shutting down
 };
 
-/// Takes one request at a time and gives it its response: an idle connection, one that sends a request, waits
-/// for its response, or is being answered. What comes is read only as there is room for it.
+/// Reads the requests of one client connection, reports them one at a time and writes their responses. It
+/// reads from the socket only as much as it has buffer space for.
 class Connection final : public GuardedConnection {
 public:
-    /// What a connection needs of its listener, which closes it before its own end.
+    /// Interface of the listener that owns the connection. The listener closes the connection before it is
+    /// destroyed itself.
     class Owner {
     public:
         virtual bool is_draining() const = 0;
         virtual const Callbacks& callbacks() const = 0;
         virtual std::shared_ptr<net::BufferBudget> body_budget() const = 0;
         virtual RequestId next_request_id() = 0;
-        /// From now on the request can be answered; until remove_request(), or an answer.
+        /// Registers a request that can be answered until remove_request() is called or a response is given.
         virtual void add_request(RequestId id, ConnectionPtr connection) = 0;
         virtual void remove_request(RequestId id) = 0;
-        virtual void became_idle() = 0;
-        virtual void closed(const ConnectionPtr& connection) = 0;
+        virtual void on_idle() = 0;
+        virtual void on_closed(const ConnectionPtr& connection) = 0;
 
     protected:
         ~Owner() = default;
@@ -55,37 +56,39 @@
 
     Connection(Owner& owner, boost::asio::io_context& io, net::Tcp::socket socket);
 
-    /// Begins to read. A client that sends no complete request in time is disconnected.
+    /// Starts reading. A client that does not send a complete request in time is disconnected.
     void start();
 
     bool is_open() const override { return owner_ != nullptr; }
     void close() override;
-    /// Closes in order: ends our side first, then waits for the client's. Closing over unread bytes would
-    /// reset the connection, and could take the last response with it.
-    /// @param longest  to wait for a client that goes on sending.
-    void shut_down(Millis longest);
-    /// Shuts down what is idle, in the time of a drain's end.
+    /// Closes gracefully: shuts down sending, then reads and discards until the client closes too. Closing a
+    /// socket that has unread bytes would reset the connection, and the client could lose the last response.
+    /// @param max_wait  limits the wait for a client that keeps sending.
+    void shut_down(Millis max_wait);
+    /// Shuts the connection down if it is idle and has no unread bytes. Used when a drain stops accepting.
     void shut_down_if_idle();
-    /// Makes room for others. A client that was served may not have read all of its last response; one that
-    /// was not is disconnected at once.
+    /// Ends the connection to free capacity. An idle connection that has served a request is shut down
+    /// gracefully, because its client may not have read all of its last response. Any other is closed at
+    /// once.
     void evict();
-    /// Nothing more is read: a request that has come completely by now is taken, the rest of another is not.
+    /// Stops reading. Accepts a request that has arrived completely by now, rejects an incomplete one and
+    /// shuts an idle connection down.
     void end_reading();
 
     void respond(Response response);
     void stream_response(ResponseHead head, std::shared_ptr<net::BodyBuffer> body);
 
-    /// Whether everything that has come is read, but perhaps the client's end.
+    /// Returns whether all received bytes have been read; the end of the stream may still be unread.
     bool has_read_all();
-    /// Whether the client has ended its side, be there unread bytes before the end or not: a look at the
-    /// bytes alone would not tell.
+    /// Returns whether the client has closed its sending side. Detects this also behind unread bytes, where
+    /// peeking at the stream would show only the bytes.
     bool has_client_left();
-    /// For how long what was or will be read next may have stood unread.
+    /// Returns how long the bytes read last, or next, may have been waiting unread.
     Millis unread_time() const;
 
     bool is_shutting_down() const { return state_ == State::shutting_down; }
     EvictionRank eviction_rank() const;
-    /// The last time at which it fell idle, or bytes of a head came.
+    /// Returns the last time at which the connection became idle or received bytes of a request head.
     std::chrono::steady_clock::time_point active_at() const { return active_at_; }
 
 private:
@@ -95,8 +98,8 @@
     enum class State {
         idle,
         reading_head,
-        reading_body,  // not reported yet
-        waiting,       // for the response; the rest of the body may still be coming
+        reading_body,  // the request has not been reported yet
+        waiting,       // for the response; the rest of the body may still be arriving
         responding,
         shutting_down,
     };
@@ -118,13 +121,13 @@
     bool receive();
     void note_received(std::size_t bytes);
     bool parse();
-    bool take_step(const RequestParser::Step& step);
+    bool handle_step(const RequestParser::Step& step);
     void start_request();
-    bool take_head();
+    bool handle_head();
     bool start_body();
     bool expects_continue() const;
-    void on_body_room();
-    void wait_for_body_room();
+    void on_body_space();
+    void wait_for_body_space();
     void complete_body();
     void deliver();
     void note_unread();
@@ -145,7 +148,7 @@
     void on_time_limit();
     void discard();
 
-    Owner* owner_;  // null: closed
+    Owner* owner_;  // null once the connection is closed
     net::Tcp::socket socket_;
     boost::asio::steady_timer timer_;
     RequestParser parser_;
@@ -154,15 +157,15 @@
     ResponseWriter writer_;
     State state_ = State::idle;
 
-    // The request under way.
-    RequestId id_ = 0;  // 0: not reported yet, or ended
+    // The current request.
+    RequestId id_ = 0;  // 0 before the request is reported and after it has ended
     std::shared_ptr<const RequestHead> head_;
-    std::shared_ptr<net::BodyBuffer> body_;  // null: it has none
+    std::shared_ptr<net::BodyBuffer> body_;  // null if the request has no body
     unsigned http_version_ = kHttp11;
     bool keep_alive_ = true;
 
     TimePoint active_at_;
-    TimePoint time_limit_;  // none: no limit
+    TimePoint time_limit_;  // the epoch if there is no limit
     TimePoint shutdown_time_limit_;
     bool is_waiting_readable_ = false;
     bool has_ended_reading_ = false;
--- a/src/node/downstream_connection_reading.cpp
+++ b/src/node/downstream_connection_reading.cpp
@@ -1,4 +1,4 @@
-// How a connection reads its requests; see downstream_connection.cpp for the rest of its life.
+// Reading of requests by a downstream connection. Its other functions are in downstream_connection.cpp.
 #include <boost/asio/post.hpp>
 #include <string_view>
 #include <utility>
@@ -14,13 +14,14 @@
 
 namespace {
 
-constexpr std::size_t kBodyPiece = 16 * 1024;  // bytes read at a time
-constexpr int kReadsInARow = 8;                // before other connections have their turn
+constexpr std::size_t kBodyReadSize = 16 * 1024;  // bytes read at a time
+constexpr int kMaxConsecutiveReads = 8;           // then other connections are served first
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 }  // namespace
 
-// One wait at a time: for a request while idle, for the rest of it, for the client's end while it waits.
+// Waits until the socket is readable, with one wait at a time. The event is a new request on an idle
+// connection, the rest of an incomplete request, or the client's disconnection while a response is awaited.
 void Connection::wait_readable() {
     if (is_waiting_readable_) return;
     is_waiting_readable_ = true;
@@ -33,9 +34,9 @@
 }
 
 void Connection::on_readable() {
-    if (state_ == State::shutting_down) return;  // discards by itself
+    if (state_ == State::shutting_down) return;  // discard() reads
     if (is_reading_head() || is_receiving_body()) return read();
-    // The next request, early, stays where it is until this one has its response.
+    // A pipelined request stays in the socket until the current one has its response.
     const error_code error = peek();
     if (net::is_transient(error))
         wait_readable();
@@ -45,15 +46,15 @@
         close();
 }
 
-// Reads and parses as long as there is something to read and room for it.
+// Reads and parses while bytes are available and there is buffer space for them.
 void Connection::read() {
-    for (int turns = 0; is_reading(); ++turns) {
-        if (is_receiving_body() && body_->free_space() == 0) return wait_for_body_room();
+    for (int reads = 0; is_reading(); ++reads) {
+        if (is_receiving_body() && body_->free_space() == 0) return wait_for_body_space();
         if (parser_.buffered() > 0) {
             if (!parse()) return;
             continue;
         }
-        if (turns >= kReadsInARow) return read_later();
+        if (reads >= kMaxConsecutiveReads) return read_later();
         if (!receive()) return;
     }
 }
@@ -63,13 +64,13 @@
                [connection = self()] { connection->guarded([&] { connection->read(); }); });
 }
 
-// Whether anything was read.
+// Reads once from the socket. Returns whether any bytes were read.
 bool Connection::receive() {
     if (has_ended_reading_) {
         reject_incomplete();
         return false;
     }
-    const auto space = parser_.prepare(is_receiving_body() ? kBodyPiece : RequestParser::kHeadPiece);
+    const auto space = parser_.prepare(is_receiving_body() ? kBodyReadSize : RequestParser::kHeadReadSize);
     std::size_t count = 0;
     const error_code error =
         net::retry_while_interrupted([&](error_code& failed) { count = socket_.read_some(space, failed); });
@@ -97,7 +98,8 @@
         active_at_ = SteadyClock::now();
 }
 
-// Parses what has come. Whether reading goes on; else more has to come, or the request has.
+// Parses the buffered bytes. Returns whether to continue reading; false if more bytes have to arrive first or
+// the request is complete.
 bool Connection::parse() {
     if (state_ == State::idle) {
         if (!parser_.skip_line_ends()) return true;
@@ -106,18 +108,18 @@
     net::BodyBuffer* const body = is_receiving_body() ? body_.get() : nullptr;
     const RequestParser::Step step = parser_.parse(body);
     unread_ages_.note_read(step.bytes, SteadyClock::now());
-    // The last byte of a request that servers have in part lets it begin there: not for a client that has
-    // left.
+    // A server that has received part of a request starts to process it on its last byte, so that byte is not
+    // forwarded for a client that has disconnected.
     const bool ends_forwarded_body = body != nullptr && state_ == State::waiting && parser_.is_complete();
     if (ends_forwarded_body && has_client_left()) {
         close();
         return false;
     }
     if (step.body_bytes > 0) body->commit(step.body_bytes);
-    return take_step(step);
+    return handle_step(step);
 }
 
-bool Connection::take_step(const RequestParser::Step& step) {
+bool Connection::handle_step(const RequestParser::Step& step) {
     using Result = RequestParser::Result;
     if (step.result == Result::needs_more && !parser_.is_buffer_full()) return receive();
     if (step.result != Result::progressed) {
@@ -125,7 +127,7 @@
         reject(is_too_large ? http::status::payload_too_large : http::status::bad_request);
         return false;
     }
-    if (step.completes_head) return take_head();
+    if (step.completes_head) return handle_head();
     if (!is_receiving_body()) return true;
     if (parser_.is_complete()) {
         complete_body();
@@ -142,7 +144,7 @@
     close_at(timeouts_.start_head(SteadyClock::now()));
 }
 
-bool Connection::take_head() {
+bool Connection::handle_head() {
     keep_alive_ = parser_.keep_alive();
     http_version_ = parser_.http_version();
     if (const auto error = parser_.head_error()) {
@@ -165,12 +167,12 @@
     return start_body();
 }
 
-// Whether reading goes on at once.
+// Starts to receive a body. Returns whether to continue reading at once.
 bool Connection::start_body() {
     state_ = State::reading_body;
     body_ = std::make_shared<net::BodyBuffer>(owner_->body_budget(), parser_.content_length());
     body_->on_writable = [weak = weak_from_this(), this] {
-        if (const auto connection = weak.lock()) on_body_room();
+        if (const auto connection = weak.lock()) on_body_space();
     };
     timeouts_.start_body(parser_.buffered());
     limit_body_time();
@@ -189,16 +191,17 @@
     return http_version_ == kHttp11 && boost::beast::iequals((*head_)[http::field::expect], "100-continue");
 }
 
-void Connection::on_body_room() {
+void Connection::on_body_space() {
     if (!is_receiving_body()) return;
     timeouts_.resume_body(SteadyClock::now());
     limit_body_time();
     asio::post(socket_.get_executor(), if_open([this] { read(); }));
 }
 
-// No room for the rest of a body: our delay, and on_room goes on. While its last byte is yet to come, its
-// time counts from now at the earliest.
-void Connection::wait_for_body_room() {
+// Pauses reading while the body buffer is full; on_body_space() resumes it. The sidecar causes this delay, so
+// the client's time limit is lifted. If the last byte has not arrived yet, the unread time counts from now at
+// the earliest.
+void Connection::wait_for_body_space() {
     const std::uint64_t here = body_->bytes_written() + count_unread();
     if (!body_->length || here < *body_->length) unread_ages_.note_all_read();
     note_unread();
@@ -217,7 +220,7 @@
     if (parser_.buffered() == 0) wait_readable();
 }
 
-// Reports the request: with its body complete, or as much of it as there is room for.
+// Reports the request, either with its complete body or with as much of it as the buffer holds.
 void Connection::deliver() {
     auto request = read_incoming_request(*head_);
     timeouts_.note_first_request();
@@ -241,7 +244,8 @@
 
 void Connection::note_unread() { unread_ages_.note_unread(SteadyClock::now()); }
 
-// One request is complete: whatever else is here is of the next one.
+// Starts to track the unread time of the next request: the current one is complete, so all remaining bytes
+// belong to the next.
 void Connection::note_next_request() {
     if (parser_.buffered() > 0)
         note_unread();
--- a/src/node/downstream_listener.cpp
+++ b/src/node/downstream_listener.cpp
@@ -20,12 +20,12 @@
 
 namespace {
 
-constexpr Millis kAcceptPause = 20;    // when no descriptor is to be had
-constexpr int kConnectionsInARow = 8;  // accepted before other work has its turn
+constexpr Millis kAcceptPause = 20;        // after a failure to accept, such as no free descriptor
+constexpr int kMaxConsecutiveAccepts = 8;  // then other work is done first
 
-// New connections go to the second of the sockets that share the address: the one that listened last, as the
-// first one's leaving makes it the first again. Where there is no second, or no steering, the kernel spreads
-// them by itself.
+// Steers new connections to the second socket that shares the address. That is the one that started to listen
+// last, because it becomes the first when the first one closes. If there is no second socket or steering is
+// not supported, the kernel distributes the connections.
 void steer_to_latest(int listener) {
     std::array<sock_filter, 1> second{{BPF_STMT(BPF_RET | BPF_K, 1)}};
     const sock_fprog program{second.size(), second.data()};
@@ -58,12 +58,12 @@
 void DownstreamListener::listen(const net::Tcp::endpoint& endpoint, bool shared) {
     using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
     acceptor_.set_option(asio::socket_base::reuse_address(true));
-    error_code ignored;  // where it can't be shared, binding tells
+    error_code ignored;  // if the address cannot be shared, bind() fails
     if (shared) acceptor_.set_option(ReusePort(true), ignored);
     acceptor_.bind(endpoint);
     address_ = acceptor_.local_endpoint();
     acceptor_.non_blocking(true);
-    // Else Asio waits for the next connection, with no limit, where one has been aborted.
+    // Without this option, Asio waits indefinitely for the next connection if one has been aborted.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     acceptor_.listen(asio::socket_base::max_listen_connections);
     if (shared) steer_to_latest(acceptor_.native_handle());
@@ -72,18 +72,20 @@
 // ---- Accepting ----
 
 void DownstreamListener::resume_accepting() {
-    if (accepting_ || !acceptor_.is_open() || !make_room()) return;
+    if (accepting_ || !acceptor_.is_open() || !ensure_capacity()) return;
     acceptor_.async_wait(net::Tcp::acceptor::wait_read, [this](error_code failed) {
         if (failed == asio::error::operation_aborted) return;
         accepting_ = false;
-        accept_waiting();
+        accept_pending();
     });
-    accepting_ = true;  // not where that has thrown
+    accepting_ = true;  // stays false if async_wait() has thrown
 }
 
-// Asio's own accept would lose its handler, and all connections after it, where there is no memory for one.
-void DownstreamListener::accept_waiting() {
-    for (int turns = 0; turns < kConnectionsInARow && acceptor_.is_open() && make_room(); ++turns) {
+// Accepts the pending connections. Asio's async_accept() is not used: if it failed to allocate memory, its
+// handler would be lost and no connection accepted any more.
+void DownstreamListener::accept_pending() {
+    for (int accepts = 0; accepts < kMaxConsecutiveAccepts && acceptor_.is_open() && ensure_capacity();
+         ++accepts) {
         const error_code failed = accept_one();
         if (net::is_transient(failed)) break;
         if (failed && accept_pace_.must_pause_after(failed)) return accept_after_pause();
@@ -91,14 +93,14 @@
     resume_accepting();
 }
 
-// Without waiting: `would_block` where there is none.
+// Accepts one connection without blocking. Returns `would_block` if none is pending.
 error_code DownstreamListener::accept_one() {
     net::Tcp::socket socket(io_);
     error_code failed;
     acceptor_.accept(socket, failed);
     if (failed) return failed;
     accept_pace_.on_success();
-    take_connection(std::move(socket));
+    add_connection(std::move(socket));
     return {};
 }
 
@@ -109,7 +111,7 @@
     });
 }
 
-void DownstreamListener::take_connection(net::Tcp::socket socket) {
+void DownstreamListener::add_connection(net::Tcp::socket socket) {
     Connection::Owner& owner = *this;
     const auto connection = std::make_shared<Connection>(owner, io_, std::move(socket));
     connections_.insert(connection);
@@ -118,23 +120,23 @@
 
 // ---- The limit on connections ----
 
-bool DownstreamListener::has_newcomer() {
+bool DownstreamListener::has_pending_connection() {
     return (net::poll_events(acceptor_.native_handle(), POLLIN) & POLLIN) != 0;
 }
 
-bool DownstreamListener::make_room() {
-    return limit_.make_room([this] { return has_newcomer(); });
+bool DownstreamListener::ensure_capacity() {
+    return limit_.ensure_capacity([this] { return has_pending_connection(); });
 }
 
 void DownstreamListener::limit_connections(std::size_t connections) {
-    limit_.set_limit(connections, [this] { return has_newcomer(); });
+    limit_.set_limit(connections, [this] { return has_pending_connection(); });
 }
 
-void DownstreamListener::became_idle() {
+void DownstreamListener::on_idle() {
     if (limit_.is_reached()) asio::post(io_, [this] { resume_accepting(); });
 }
 
-void DownstreamListener::closed(const ConnectionPtr& connection) {
+void DownstreamListener::on_closed(const ConnectionPtr& connection) {
     if (connections_.erase(connection) == 0) return;
     asio::post(io_, [this] { resume_accepting(); });
     if (draining_ && !acceptor_.is_open() && connections_.empty() && callbacks_.on_drained)
@@ -159,7 +161,7 @@
     return at == requests_.end() ? 0 : at->second->unread_time();
 }
 
-// The connection whose request now gets its response; null: none waits for one.
+// Removes a request from those without a response and returns its connection; null if the request is unknown.
 ConnectionPtr DownstreamListener::take_request(RequestId id) {
     const auto at = requests_.find(id);
     if (at == requests_.end()) return nullptr;
@@ -198,8 +200,8 @@
         connection->end_reading();
 }
 
-// Takes what the machine has accepted by now, however long it takes to have a descriptor for it. Whether that
-// is all; else it goes on after a pause.
+// Accepts all connections that are in the kernel's backlog. If no descriptor is free, continues after a
+// pause, as often as necessary. Returns whether the backlog is empty.
 bool DownstreamListener::accept_remaining() {
     error_code failed;
     while (failed != asio::error::would_block) {
@@ -213,7 +215,7 @@
     return true;
 }
 
-// What is idle after the last connection has been accepted is ended.
+// Accepts the last pending connections, closes the listening socket and shuts down the idle connections.
 void DownstreamListener::stop_accepting() {
     if (!accept_remaining()) return;
     error_code ignored;
--- a/src/node/downstream_listener.hpp
+++ b/src/node/downstream_listener.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The application's side: takes its requests over HTTP and gives each of them its one response.
+/// The downstream side: receives the clients' requests over HTTP and sends exactly one response to each.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,7 +18,7 @@
 
 namespace mothring::node {
 
-/// Accepts the application's connections and holds them, within a limit, until they end.
+/// Accepts client connections and owns them, up to a limit, until they end.
 class DownstreamListener final : private downstream::Connection::Owner {
 public:
     using RequestHead = downstream::RequestHead;
@@ -27,63 +27,65 @@
     using IncomingRequest = downstream::IncomingRequest;
     using Callbacks = downstream::Callbacks;
 
-    /// Listens at once.
-    /// @param connections  how many may be open at a time.
-    /// @param shared  with another process of this sidecar, where there is one; new connections then go to
-    /// the
-    ///     one that listened last.
-    /// @throws boost::system::system_error where it can't listen.
+    /// Starts listening.
+    /// @param connections  maximum number of open connections.
+    /// @param shared  whether to share the address with another process of this sidecar during a hot restart;
+    ///     new connections then go to the process that started listening last.
+    /// @throws boost::system::system_error if it cannot listen.
     DownstreamListener(boost::asio::io_context& io, const net::Tcp::endpoint& listen, std::size_t connections,
                        bool shared, std::shared_ptr<net::BufferBudget> budget, Callbacks callbacks);
     ~DownstreamListener();
     DownstreamListener(const DownstreamListener&) = delete;
     DownstreamListener& operator=(const DownstreamListener&) = delete;
 
-    /// Whether the client of a request that waits for its response has closed its connection, also where that
-    /// stands behind bytes that are not read yet. The connection is then closed, and its client reported as
-    /// disconnected, in a later turn.
+    /// Returns whether the client of a request that waits for its response has closed its connection, also if
+    /// unread bytes precede the end of the stream. If so, a later turn of the event loop closes the
+    /// connection and reports the client as disconnected.
     bool has_client_left(RequestId request);
-    /// For how long bytes of a request that is still coming may have stood unread, as there was no room for
-    /// them; 0: not at all.
+    /// Returns how long bytes of a partly received request may have been waiting unread for buffer space; 0
+    /// if none have.
     Millis unread_time(RequestId request) const;
-    /// The final response; the first one counts.
+    /// Sends the final response. Only the first response to a request has an effect.
     void respond(RequestId request, Response response);
-    /// The same for one whose body is passed on as it comes.
+    /// Sends the final response with a body that is forwarded as it arrives.
     void stream_response(RequestId request, ResponseHead head, std::shared_ptr<net::BodyBuffer> body);
-    /// Goes on taking requests for that long, closing each connection with its response, then only finishes.
+    /// Starts draining: accepts requests for the given time and closes each connection after its response,
+    /// then only completes the requests that it has accepted.
     void drain(Millis accepting);
-    /// Of a drain, when nobody may wait any longer: a request that has come completely by now is still taken,
-    /// a client that has sent only a part of one is told so, and the other connections are ended.
+    /// Ends the waiting for requests at the end of a drain. A request that has arrived completely by now is
+    /// still accepted, an incomplete one gets an error response, and the other connections are closed.
     void end_waiting_connections();
     std::size_t connection_count() const { return connections_.size(); }
     net::Tcp::endpoint address() const { return address_; }
     bool draining() const { return draining_; }
-    /// Idle connections make room at once, the longest idle first, the others as they end.
+    /// Sets the maximum number of connections. Excess idle connections are evicted at once, longest idle
+    /// first; the others count against the limit until they end.
     void limit_connections(std::size_t connections);
 
-    /// Takes new connections, where it does not already. To be called after a failure that may have ended it.
+    /// Resumes accepting connections unless it already does. Must be called after a failure that may have
+    /// stopped it.
     void resume_accepting();
 
 private:
-    // ---- Of a connection ----
+    // ---- Connection::Owner ----
     bool is_draining() const override { return draining_; }
     const Callbacks& callbacks() const override { return callbacks_; }
     std::shared_ptr<net::BufferBudget> body_budget() const override { return budget_; }
     RequestId next_request_id() override { return next_request_++; }
     void add_request(RequestId id, downstream::ConnectionPtr connection) override;
     void remove_request(RequestId id) override { requests_.erase(id); }
-    void became_idle() override;
-    void closed(const downstream::ConnectionPtr& connection) override;
+    void on_idle() override;
+    void on_closed(const downstream::ConnectionPtr& connection) override;
 
     void listen(const net::Tcp::endpoint& endpoint, bool shared);
-    void accept_waiting();
+    void accept_pending();
     boost::system::error_code accept_one();
     void accept_after_pause();
-    void take_connection(net::Tcp::socket socket);
+    void add_connection(net::Tcp::socket socket);
     bool accept_remaining();
     void stop_accepting();
-    bool make_room();
-    bool has_newcomer();
+    bool ensure_capacity();
+    bool has_pending_connection();
     downstream::ConnectionPtr take_request(RequestId id);
 
     boost::asio::io_context& io_;
@@ -93,10 +95,10 @@
     downstream::ConnectionLimit limit_;
     std::shared_ptr<net::BufferBudget> budget_;
     Callbacks callbacks_;
-    boost::asio::steady_timer accept_timer_;  // of the next attempt to accept, after a pause
+    boost::asio::steady_timer accept_timer_;  // for the next attempt to accept, after a pause
     net::FailurePace accept_pace_;
     boost::asio::steady_timer drain_timer_;
-    std::unordered_map<RequestId, downstream::ConnectionPtr> requests_;  // without a response yet
+    std::unordered_map<RequestId, downstream::ConnectionPtr> requests_;  // that have no response yet
     RequestId next_request_ = 1;
     bool draining_ = false;
     bool accepting_ = false;
--- a/src/node/guarded_connection.hpp
+++ b/src/node/guarded_connection.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A connection that no failure leaves hanging.
+/// Base class of connections that are closed if one of their handlers fails.
 #pragma once
 
 #include <memory>
@@ -7,8 +7,9 @@
 
 namespace mothring::node::downstream {
 
-/// What works for a connection in later turns of the loop holds it through this. An exception (no memory,
-/// say) must not leave a client waiting in vain: it closes the connection, which the client sees.
+/// Runs a connection's handlers in later turns of the event loop, keeping the connection alive. If a handler
+/// throws, for lack of memory for example, the connection is closed, so that the client does not wait for a
+/// response that never comes.
 class GuardedConnection : public std::enable_shared_from_this<GuardedConnection> {
 public:
     GuardedConnection() = default;
@@ -18,8 +19,8 @@
     virtual bool is_open() const = 0;
     virtual void close() = 0;
 
-    /// Does the work, and closes the connection where that throws.
-    /// @throws whatever the work throws.
+    /// Calls `work`, and closes the connection if it throws.
+    /// @throws every exception that `work` throws.
     template <class Work>
     void guarded(Work&& work) {
         const auto self = shared_from_this();
@@ -31,9 +32,9 @@
         }
     }
 
-    /// @return a handler that does the work, guarded, unless the connection is closed by then. It keeps the
-    ///     connection alive. It is to be moved and never copied: a copy may fail for want of memory where
-    ///     nobody sees it.
+    /// Returns a handler that calls `work` through guarded() unless the connection is closed by then. The
+    /// handler keeps the connection alive. Move the handler and never copy it: a copy may fail for lack of
+    /// memory at a point where the failure would go unnoticed.
     template <class Work>
     auto if_open(Work work) {
         return [self = shared_from_this(), work = std::move(work)]() mutable {
--- a/src/node/incoming_request.hpp
+++ b/src/node/incoming_request.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A request of the application, as the protocol words it.
+/// A client's request with the values of its headers, and the events that the downstream side reports.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -18,38 +18,41 @@
 using ResponseHead = boost::beast::http::response<boost::beast::http::empty_body>;
 using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
-/// HTTP/1.1, as Beast writes a version.
+/// HTTP/1.1 in Beast's encoding of a version.
 inline constexpr unsigned kHttp11 = 11;
 
+/// A client's request as reported by the downstream side.
 struct IncomingRequest {
     RequestId id = 0;
     std::shared_ptr<const RequestHead> message;
-    /// Null: it has none. The rest of it may still be coming.
+    /// Null if the request has no body. The rest of the body may still be arriving.
     std::shared_ptr<net::BodyBuffer> body;
     std::string class_name;
     std::string tenant;
-    /// Of a complete request, less the time for which it has stood unread behind another.
+    /// The client's time-out. For a complete request it is reduced by the time that the request waited unread
+    /// behind another.
     Millis time_left = 0;
-    /// The work that it is said to cost; 0: not said.
+    /// The work that the request takes according to the client; 0 if the client gave no estimate.
     Millis effort = 0;
     bool is_retry = false;
 };
 
-/// What the downstream side reports. Each identifier is of a request reported by on_request.
+/// Events of the downstream side. Each identifier belongs to a request reported by on_request.
 struct Callbacks {
     std::function<void(IncomingRequest)> on_request;
-    /// The last byte has come of a request that was reported before it.
+    /// The last byte of a request has arrived that was reported while incomplete.
     std::function<void(RequestId)> on_body_complete;
-    /// The client has closed the connection of a request that has no response yet.
+    /// The connection of a request without a complete response has ended, or the request was rejected.
     std::function<void(RequestId)> on_client_disconnected;
-    /// Once for each request, after everything else: whether its response has been written completely.
+    /// The last event of each request, reported once; `complete` tells whether its response was written
+    /// completely.
     std::function<void(RequestId, bool complete)> on_response_ended;
-    /// After drain(): no client is left.
+    /// After drain(): no connection is left.
     std::function<void()> on_drained;
 };
 
-/// Reads the headers that the protocol gives to a request.
-/// @return nullopt where they are not in the protocol's form; else without id, message and body.
+/// Reads the headers that the platform defines for requests.
+/// @return the request without id, message and body; nullopt if a required header is missing or malformed.
 std::optional<IncomingRequest> read_incoming_request(const RequestHead& head);
 
 }  // namespace mothring::node::downstream
--- a/src/node/lifetime_guard.hpp
+++ b/src/node/lifetime_guard.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps timer handlers from running after the object that they work on is gone.
+/// Prevents timer handlers from running after the object that they use is destroyed.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -8,15 +8,15 @@
 
 namespace mothring::node {
 
-/// A member of the object that handlers work on; declared last, so that it is destroyed first.
+/// Member of an object whose timer handlers it guards. Declare it last, so that it is destroyed first.
 class LifetimeGuard {
 public:
     LifetimeGuard() = default;
     LifetimeGuard(const LifetimeGuard&) = delete;
     LifetimeGuard& operator=(const LifetimeGuard&) = delete;
 
-    /// A timer handler that does the work unless the timer was cancelled or the guard is gone. A timer may
-    /// expire just before its owner's end, and its handler be called only after that.
+    /// Returns a timer handler that calls `work` unless the timer was cancelled or the guard is destroyed. A
+    /// timer may expire just before its owner is destroyed, and its handler may be called only afterwards.
     template <class Work>
     auto while_alive(Work work) const {
         return [token = std::weak_ptr<const void>(token_),
--- a/src/node/request_parser.cpp
+++ b/src/node/request_parser.cpp
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-boost::asio::mutable_buffer RequestParser::prepare(std::size_t most) {
+boost::asio::mutable_buffer RequestParser::prepare(std::size_t max_bytes) {
     const std::size_t space = buffer_.max_size() - buffer_.size();
-    return buffer_.prepare(std::min(space, most));
+    return buffer_.prepare(std::min(space, max_bytes));
 }
 
 bool RequestParser::skip_line_ends() {
@@ -43,10 +43,10 @@
 
 RequestParser::Step RequestParser::parse(net::BodyBuffer* body) {
     auto& part = parser_->get().body();
-    std::size_t room = 0;
+    std::size_t free_space_before = 0;
     if (body != nullptr) {
-        room = body->free_space();
-        part.size = room;
+        free_space_before = body->free_space();
+        part.size = free_space_before;
         part.data = body->write_pointer();
         part.more = true;
     }
@@ -57,7 +57,7 @@
     step.bytes = parser_->put(buffer_.data(), error);
     buffer_.consume(step.bytes);
     step.result = result_of(error);
-    step.body_bytes = body != nullptr ? room - part.size : 0;
+    step.body_bytes = body != nullptr ? free_space_before - part.size : 0;
     step.completes_head = was_in_head && parser_->is_header_done();
     return step;
 }
@@ -68,14 +68,15 @@
 }
 
 std::optional<http::status> RequestParser::head_error() const {
-    if (!is_framed() || http_version() > kHttp11) return http::status::bad_request;
+    if (!has_valid_framing() || http_version() > kHttp11) return http::status::bad_request;
     const auto length = content_length();
     if (length && *length > net::kMaxForwardedBodyBytes) return http::status::payload_too_large;
     return std::nullopt;
 }
 
-// Beast rejects two lengths, and a length beside chunks; a coding that it does not know hides the end.
-bool RequestParser::is_framed() const {
+// Returns whether the end of the body can be determined. Beast itself rejects two lengths, and a length
+// together with chunked coding; with any other transfer coding the end would be unknown.
+bool RequestParser::has_valid_framing() const {
     const auto& head = parser_->get();
     const std::size_t codings = head.count(http::field::transfer_encoding);
     if (codings == 0) return true;
--- a/src/node/request_parser.hpp
+++ b/src/node/request_parser.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Requests from the bytes of a connection.
+/// Parsing of requests from the bytes of a connection.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -17,18 +17,19 @@
 
 namespace mothring::node::downstream {
 
-/// Holds the bytes that have been read and not parsed, and parses them into one request after the other.
+/// Buffers the bytes that have been read from a connection and parses them into requests, one at a time.
 class RequestParser {
 public:
-    /// Bytes read at a time, of a head or of what is discarded.
-    static constexpr std::size_t kHeadPiece = 2 * 1024;
+    /// Bytes read at a time, for a head or to be discarded.
+    static constexpr std::size_t kHeadReadSize = 2 * 1024;
 
-    // ---- The bytes read ----
+    // ---- Buffer ----
 
     std::size_t buffered() const { return buffer_.size(); }
     bool is_buffer_full() const { return buffer_.size() >= buffer_.max_size(); }
-    /// Space for what is read next; commit() tells how much of it was filled.
-    boost::asio::mutable_buffer prepare(std::size_t most);
+    /// Returns buffer space of at most `max_bytes` for the next read; commit() then adds the bytes that were
+    /// read.
+    boost::asio::mutable_buffer prepare(std::size_t max_bytes);
     void commit(std::size_t bytes) { buffer_.commit(bytes); }
     void discard() { buffer_.consume(buffer_.size()); }
     void release_unused_memory() { buffer_.shrink_to_fit(); }
@@ -37,43 +38,44 @@
 
     enum class Result {
         progressed,
-        needs_more,  // than is here
+        needs_more,  // bytes than are buffered
         malformed,
         body_too_large,
     };
     struct Step {
         Result result = Result::progressed;
-        std::size_t bytes = 0;       // parsed
-        std::size_t body_bytes = 0;  // put into the body's space, and not added to it yet
+        std::size_t bytes = 0;       // consumed from the buffer
+        std::size_t body_bytes = 0;  // written into the body buffer's free space, but not committed yet
         bool completes_head = false;
     };
 
-    /// Drops empty lines before a request line.
-    /// @return whether anything else is here.
+    /// Skips empty lines before a request line.
+    /// @return whether other bytes are buffered.
     bool skip_line_ends();
     void start_request();
     void end_request() { parser_.reset(); }
-    /// Parses what is here.
-    /// @param body  whose space takes the body; null while there is none yet.
+    /// Parses buffered bytes.
+    /// @param body  receives the bytes of the body; null while the head is being read.
     Step parse(net::BodyBuffer* body);
 
-    // ---- The request, once its head is complete ----
+    // ---- Request, valid once its head is complete ----
 
     bool is_complete() const { return parser_->is_done(); }
     bool is_get() const { return parser_->get().method() == boost::beast::http::verb::get; }
     bool keep_alive() const { return parser_->keep_alive(); }
     unsigned http_version() const { return parser_->get().version(); }
-    /// Of the whole body; none: not known.
+    /// Returns the length of the complete body; nullopt if the head does not state it.
     std::optional<std::uint64_t> content_length() const;
-    /// How a head is rejected that can't be served whatever it asks for; none: it is not.
+    /// Returns the status that rejects a request that cannot be served for its framing, version or size;
+    /// nullopt if the head is acceptable.
     std::optional<boost::beast::http::status> head_error() const;
-    /// The head, its target in the origin form.
+    /// Returns a copy of the head with its target in origin form.
     std::shared_ptr<const RequestHead> copy_head() const;
 
 private:
-    bool is_framed() const;
+    bool has_valid_framing() const;
 
-    boost::beast::flat_buffer buffer_{net::kMaxHeaderBytes + kHeadPiece};
+    boost::beast::flat_buffer buffer_{net::kMaxHeaderBytes + kHeadReadSize};
     std::optional<boost::beast::http::request_parser<boost::beast::http::buffer_body>> parser_;
 };
 
--- a/src/node/request_timeouts.cpp
+++ b/src/node/request_timeouts.cpp
@@ -8,36 +8,37 @@
 
 namespace {
 
-constexpr Millis kSmallRequest = 2400;
-constexpr Millis kBodyPause = 700;
-constexpr double kSlowestPace = 32;  // bytes in a millisecond
+constexpr Millis kSmallRequestTimeout = 2400;
+constexpr Millis kMaxBodyPause = 700;
+constexpr double kMinBodyBytesPerMilli = 32;  // half the rate of the slowest expected client
 
 }  // namespace
 
-RequestTimeouts::TimePoint RequestTimeouts::connect(TimePoint now) {
+RequestTimeouts::TimePoint RequestTimeouts::on_connected(TimePoint now) {
     connected_at_ = now;
-    return now + net::to_duration(kSmallRequest);
+    return now + net::to_duration(kSmallRequestTimeout);
 }
 
 RequestTimeouts::TimePoint RequestTimeouts::start_head(TimePoint now) {
-    head_began_ = connected_at_.value_or(now);
-    return head_began_ + net::to_duration(kSmallRequest);
+    head_started_at_ = connected_at_.value_or(now);
+    return head_started_at_ + net::to_duration(kSmallRequestTimeout);
 }
 
 void RequestTimeouts::start_body(std::size_t bytes) {
-    body_began_ = head_began_;
-    received_ = bytes;
+    body_started_at_ = head_started_at_;
+    received_bytes_ = bytes;
 }
 
 void RequestTimeouts::resume_body(TimePoint now) {
-    body_began_ = now;
-    received_ = 0;
+    body_started_at_ = now;
+    received_bytes_ = 0;
 }
 
-RequestTimeouts::TimePoint RequestTimeouts::body_due(TimePoint now) const {
-    const TimePoint small = body_began_ + net::to_duration(kSmallRequest);
-    const TimePoint paced = small + net::to_duration(static_cast<double>(received_) / kSlowestPace);
-    return std::max(small, std::min(now + net::to_duration(kBodyPause), paced));
+RequestTimeouts::TimePoint RequestTimeouts::body_deadline(TimePoint now) const {
+    const TimePoint small = body_started_at_ + net::to_duration(kSmallRequestTimeout);
+    const TimePoint paced =
+        small + net::to_duration(static_cast<double>(received_bytes_) / kMinBodyBytesPerMilli);
+    return std::max(small, std::min(now + net::to_duration(kMaxBodyPause), paced));
 }
 
 }  // namespace mothring::node::downstream
--- a/src/node/request_timeouts.hpp
+++ b/src/node/request_timeouts.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How long a client may take to send a request.
+/// Time limits for clients that send requests.
 #pragma once
 
 #include <chrono>
@@ -11,34 +11,35 @@
 
 namespace mothring::node::downstream {
 
-/// A small request may take its time whatever its pieces. A larger body has to come on after that, without a
-/// long pause, and at half the pace of the slowest writer on the whole.
+/// Computes the deadlines by which a client must send a request. A small request may use a fixed time,
+/// however many pieces it arrives in. After that time a larger body must arrive without a long pause and at a
+/// minimum average rate, which is half the rate of the slowest expected client.
 class RequestTimeouts {
 public:
     using TimePoint = std::chrono::steady_clock::time_point;
 
-    /// The time of the first request counts from connecting on.
-    /// @return by when that request has to be complete.
-    TimePoint connect(TimePoint now);
+    /// Records the time of the connection. The time limit of the first request counts from here.
+    /// @return the deadline of that request.
+    TimePoint on_connected(TimePoint now);
     bool awaits_first_request() const { return connected_at_.has_value(); }
     void note_first_request() { connected_at_.reset(); }
 
-    /// The first byte of a request is here.
-    /// @return by when a small request has to be complete.
+    /// Records the arrival of the first byte of a request.
+    /// @return the deadline of a small request.
     TimePoint start_head(TimePoint now);
-    /// The head is complete, with that many bytes of the body.
+    /// Records that the head is complete and that this many bytes of the body have arrived with it.
     void start_body(std::size_t bytes);
-    /// There was no room for the body, and now there is: its time counts anew.
+    /// Restarts the time limit of the body after reading was paused for lack of buffer space.
     void resume_body(TimePoint now);
-    void note_received(std::size_t bytes) { received_ += bytes; }
-    /// @return by when more of the body has to come.
-    TimePoint body_due(TimePoint now) const;
+    void note_received(std::size_t bytes) { received_bytes_ += bytes; }
+    /// @return the deadline by which more of the body must arrive.
+    TimePoint body_deadline(TimePoint now) const;
 
 private:
-    std::optional<TimePoint> connected_at_;  // none: a request has come
-    TimePoint head_began_;
-    TimePoint body_began_;
-    std::uint64_t received_ = 0;  // bytes, since body_began_
+    std::optional<TimePoint> connected_at_;  // nullopt after the first request
+    TimePoint head_started_at_;
+    TimePoint body_started_at_;
+    std::uint64_t received_bytes_ = 0;  // since body_started_at_
 };
 
 }  // namespace mothring::node::downstream
--- a/src/node/response_writer.cpp
+++ b/src/node/response_writer.cpp
@@ -30,13 +30,13 @@
     body_ = std::move(body);
     framing_ = framing;
     head.version(kHttp11);
-    // chunked(true) would take a length away.
+    // chunked() is called only for its own framing, because it would remove a content length.
     if (framing_ == BodyFraming::content_length) head.content_length(*body_->length);
     if (framing_ == BodyFraming::chunked) head.chunked(true);
     head.keep_alive(keep_alive);
     keep_alive_ = head.keep_alive();
     if (framing_ == BodyFraming::until_close) reset_on_close(true);
-    // What the kernel holds of it is bounded too, so that a slow reader's progress shows.
+    // Also limits what the kernel buffers, so that the progress of a slow client is observable.
     error_code ignored;
     socket_.set_option(asio::socket_base::send_buffer_size(static_cast<int>(net::BodyBuffer::kMaxCapacity)),
                        ignored);
@@ -44,7 +44,7 @@
     state_ = State::writing;
     callbacks_.on_progress();
     write_out(net::make_write_step(*message, net::MessagePart::header),
-              [this, message](bool complete) { written(complete, 0); });
+              [this, message](bool complete) { finish_write(complete, 0); });
     body_->on_readable = [this, weak = connection_.weak_from_this()] {
         if (const auto connection = weak.lock()) connection->guarded([this] { write_more(); });
     };
@@ -63,19 +63,20 @@
                                                                 complete] { on_written(complete); }));
         return;
     }
-    auto go_on =
+    auto resume =
         connection_.if_open([this, step = std::move(step), on_written = std::move(on_written)]() mutable {
             write_out(std::move(step), std::move(on_written));
         });
     socket_.async_wait(net::Tcp::socket::wait_write,
-                       [go_on = std::move(go_on)](error_code) mutable { go_on(); });
+                       [resume = std::move(resume)](error_code) mutable { resume(); });
 }
 
 void ResponseWriter::write_more() {
     if (!connection_.is_open() || is_writing() || !body_) return;
     const std::string_view bytes = body_->unread();
     if (!bytes.empty()) return write_body(bytes);
-    // The client can tell: the body is short of its length, lacks its last chunk, or the connection is reset.
+    // The client detects the truncation: the body is shorter than its length, its last chunk is missing, or
+    // the connection is reset.
     if (body_->is_truncated()) return connection_.close();
     if (!body_->is_complete()) return callbacks_.on_waiting();
     if (framing_ == BodyFraming::chunked && state_ != State::last_chunk_written) return write_last_chunk();
@@ -85,7 +86,7 @@
 void ResponseWriter::write_body(std::string_view bytes) {
     state_ = State::writing;
     callbacks_.on_progress();
-    const auto on_written = [this, count = bytes.size()](bool complete) { written(complete, count); };
+    const auto on_written = [this, count = bytes.size()](bool complete) { finish_write(complete, count); };
     const asio::const_buffer out(bytes.data(), bytes.size());
     if (framing_ == BodyFraming::chunked)
         write_out(net::make_write_step(http::make_chunk(out)), on_written);
@@ -95,7 +96,8 @@
 
 void ResponseWriter::write_last_chunk() {
     state_ = State::writing_last_chunk;
-    write_out(net::make_write_step(http::make_chunk_last()), [this](bool complete) { written(complete, 0); });
+    write_out(net::make_write_step(http::make_chunk_last()),
+              [this](bool complete) { finish_write(complete, 0); });
 }
 
 void ResponseWriter::end_stream() {
@@ -104,7 +106,7 @@
     callbacks_.on_ended(true, keep_alive_);
 }
 
-void ResponseWriter::written(bool complete, std::size_t body_bytes) {
+void ResponseWriter::finish_write(bool complete, std::size_t body_bytes) {
     state_ = state_ == State::writing_last_chunk ? State::last_chunk_written : State::waiting;
     if (!complete) return connection_.close();
     const auto body = body_;
@@ -112,8 +114,8 @@
     write_more();
 }
 
-// Where the connection's end is the response's, the end of this process in its midst must not be taken for
-// it.
+// Sets whether closing the socket resets the connection. If the end of the connection marks the end of the
+// response, the client must not mistake a crash of this process in mid-response for it.
 void ResponseWriter::reset_on_close(bool reset) {
     error_code ignored;
     socket_.set_option(asio::socket_base::linger(reset, 0), ignored);
--- a/src/node/response_writer.hpp
+++ b/src/node/response_writer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Responses onto a connection.
+/// Writing of responses to a connection.
 #pragma once
 
 #include <functional>
@@ -14,46 +14,48 @@
 
 namespace mothring::node::downstream {
 
-/// How a client learns where the body of a response ends.
+/// How the end of a response's body is marked for the client.
 enum class BodyFraming {
     content_length,
     chunked,
-    until_close,  // a connection that breaks within the body is reset, so that the client can tell
+    until_close,  // a body that is cut off resets the connection, so that the client can detect it
 };
 
-/// @param http_version  of the request, as Beast writes it.
+/// Returns the framing for a body in response to a request of the given version.
+/// @param http_version  in Beast's encoding.
 BodyFraming framing_of(const net::BodyBuffer& body, unsigned http_version);
 
-/// Writes one response at a time: a complete one, or one whose body is passed on as it comes.
+/// Writes one response at a time, either a complete one or one whose body is forwarded as it arrives.
 class ResponseWriter {
 public:
     struct Callbacks {
-        /// The client takes bytes of a streamed response.
+        /// Writing of a part of a streamed response has started.
         std::function<void()> on_progress;
-        /// All that has come of a streamed body is written; more of it is to come.
+        /// All bytes received of a streamed body are written, and the body is incomplete.
         std::function<void()> on_waiting;
-        /// After the last byte, or where a complete response can't be written.
+        /// The last byte is written, or writing a complete response has failed.
         std::function<void(bool complete, bool keep_alive)> on_ended;
     };
 
-    /// @param connection  whose socket this is; it owns this writer.
+    /// @param connection  owner of the socket and of this writer.
     ResponseWriter(GuardedConnection& connection, net::Tcp::socket& socket, Callbacks callbacks)
         : connection_(connection), socket_(socket), callbacks_(std::move(callbacks)) {}
 
+    /// Writes a complete response.
     void write(Response response, bool keep_alive);
 
-    /// Writes the head, then the body as it comes. A body that breaks off closes the connection.
+    /// Writes the head, then the body as it arrives. A truncated body closes the connection.
     void stream(ResponseHead head, std::shared_ptr<net::BodyBuffer> body, BodyFraming framing,
                 bool keep_alive);
     bool is_streaming() const { return body_ != nullptr; }
-    /// Writes no more of a streamed response.
+    /// Stops writing a streamed response.
     void stop_streaming();
 
-    /// Writes bytes, then calls `on_written`, in a turn of its own, with whether all of them were written.
+    /// Writes bytes, then calls `on_written` in a later turn of the event loop with whether all were written.
     void write_out(net::WriteStep step, std::function<void(bool)> on_written);
 
 private:
-    /// Of a streamed response.
+    /// Progress of a streamed response.
     enum class State { waiting, writing, writing_last_chunk, last_chunk_written };
 
     bool is_writing() const { return state_ == State::writing || state_ == State::writing_last_chunk; }
@@ -61,13 +63,13 @@
     void write_body(std::string_view bytes);
     void write_last_chunk();
     void end_stream();
-    void written(bool complete, std::size_t body_bytes);
+    void finish_write(bool complete, std::size_t body_bytes);
     void reset_on_close(bool reset);
 
     GuardedConnection& connection_;
     net::Tcp::socket& socket_;
     Callbacks callbacks_;
-    std::shared_ptr<net::BodyBuffer> body_;  // null: no streamed response
+    std::shared_ptr<net::BodyBuffer> body_;  // null unless a response is being streamed
     BodyFraming framing_ = BodyFraming::content_length;
     State state_ = State::waiting;
     bool keep_alive_ = true;
