--- a/tests/downstream_listener_failure_test.cpp
+++ b/tests/downstream_listener_failure_test.cpp
@@ -1,5 +1,5 @@
-// What fails within the downstream side, for want of memory, costs one connection at most: its client sees
-// the end of it, and never waits in vain. A call that a signal interrupts costs nothing.
+// Lack of memory in the downstream side ends at most one connection: its client sees the connection close and
+// does not wait forever. A system call interrupted by a signal has no effect.
 #include <cerrno>
 #include <chrono>
 #include <new>
@@ -18,17 +18,18 @@
 using mothring::test::SystemCallFaults;
 using SteadyClock = std::chrono::steady_clock;
 
-/// From connecting on, within which the listener wants a client's first request.
-constexpr Millis kFirstRequest = 2400;
+/// Time from connecting within which the listener requires a client's first request.
+constexpr Millis kFirstRequestTimeout = 2400;
 
-/// A listener by itself. Who takes the requests has no memory for them once `no_memory` is set.
+/// A listener without a sidecar. The callback that receives requests throws std::bad_alloc once `no_memory`
+/// is set.
 struct DownstreamListenerFailure : testing::Test {
     asio::io_context io;
     SystemCallFaults faults;
     std::shared_ptr<net::BufferBudget> budget =
         std::make_shared<net::BufferBudget>(net::BufferBudget{1 << 20});
     std::vector<DownstreamListener::IncomingRequest> arrivals;
-    std::size_t gone = 0;
+    std::size_t disconnected_count = 0;
     bool no_memory = false;
     int thrown = 0;  // exceptions that reached the loop
     DownstreamListener listener{io, any_port, 16, false, budget, callbacks()};
@@ -40,11 +41,11 @@
             arrivals.push_back(std::move(arrival));
         };
         made.on_body_complete = [](RequestId) {};
-        made.on_client_disconnected = [this](RequestId) { ++gone; };
+        made.on_client_disconnected = [this](RequestId) { ++disconnected_count; };
         made.on_response_ended = [](RequestId, bool) {};
         return made;
     }
-    /// The loop goes on after an exception, as the program's does.
+    /// Runs the loop and continues after an exception, as the program does.
     void until(const std::function<bool()>& reached) {
         for (bool ended = false; !ended;) try {
                 run_until(io, reached);
@@ -54,67 +55,71 @@
             }
     }
     std::shared_ptr<net::BodyBuffer> stream_to_first(const std::string& body) {
-        auto pipe = std::make_shared<net::BodyBuffer>(budget, body.size());
-        EXPECT_GE(pipe->free_space(), body.size());
-        body.copy(pipe->write_pointer(), body.size());
-        pipe->commit(body.size());
+        auto body_buffer = std::make_shared<net::BodyBuffer>(budget, body.size());
+        EXPECT_GE(body_buffer->free_space(), body.size());
+        body.copy(body_buffer->write_pointer(), body.size());
+        body_buffer->commit(body.size());
         listener.stream_response(arrivals.at(0).id, DownstreamListener::ResponseHead(http::status::ok, 11),
-                                 pipe);
-        return pipe;
+                                 body_buffer);
+        return body_buffer;
     }
-    void expect_ended(const TestClient& client) {
+    void expect_closed(const TestClient& client) {
         until([&] { return client.ended; });
         EXPECT_TRUE(client.ended);
         EXPECT_EQ(thrown, 1);
-        EXPECT_EQ(gone, 1u);
+        EXPECT_EQ(disconnected_count, 1u);
         EXPECT_EQ(listener.connection_count(), 0u);
     }
 };
 
-// The loop is held up, and the rest of a request comes right before the timer's handler, which reads it.
-TEST_F(DownstreamListenerFailure, NoMemoryAsTheTimeOfARequestRunsOut_endsItsConnection) {
-    const std::string whole = request("listen", "id-1");
-    asio::steady_timer before_it(io, SteadyClock::now() + net::to_duration(kFirstRequest));
+// The event loop is delayed past a request's time limit, and the rest of the request arrives right before the
+// timer's handler runs. The handler reads it and the allocation fails there.
+TEST_F(DownstreamListenerFailure, NoMemoryWhenRequestTimesOut_closesItsConnection) {
+    const std::string message = request("listen", "id-1");
+    asio::steady_timer before_it(io, SteadyClock::now() + net::to_duration(kFirstRequestTimeout));
     TestClient client(io, listener.address());
     until([&] { return listener.connection_count() == 1; });
-    const auto limit = SteadyClock::now() + net::to_duration(kFirstRequest);
-    client.send(whole.substr(0, 40));
-    before_it.async_wait([&](error_code) { client.send(whole.substr(40)); });
+    const auto limit = SteadyClock::now() + net::to_duration(kFirstRequestTimeout);
+    client.send(message.substr(0, 40));
+    before_it.async_wait([&](error_code) { client.send(message.substr(40)); });
     until([&] { return SteadyClock::now() > limit - std::chrono::milliseconds(100); });
     std::this_thread::sleep_until(limit + std::chrono::milliseconds(1));
     no_memory = true;
-    expect_ended(client);
+    expect_closed(client);
 }
 
-// The next request is here already, and is taken as the last byte of an answer has been written.
-TEST_F(DownstreamListenerFailure, NoMemoryAfterAnAnswerIsWritten_endsItsConnection) {
+// The next request is pipelined and is reported once the last byte of the current response has been written.
+// The allocation fails then.
+TEST_F(DownstreamListenerFailure, NoMemoryAfterResponseIsWritten_closesItsConnection) {
     TestClient client(io, listener.address());
     client.send(request("listen", "id-1") + request("listen", "id-2"));
     until([&] { return arrivals.size() == 1; });
     no_memory = true;
     stream_to_first("served")->mark_complete();
-    expect_ended(client);
+    expect_closed(client);
     EXPECT_EQ(client.answers.size(), 1u);
 }
 
-// The same, as the answer's end is told after its last byte has been written.
-TEST_F(DownstreamListenerFailure, NoMemoryAtTheEndOfAnAnswer_endsItsConnection) {
+// The body of the response is marked complete only after its last byte has been written, and the allocation
+// fails in that call.
+TEST_F(DownstreamListenerFailure, NoMemoryWhenResponseCompletes_closesItsConnection) {
     TestClient client(io, listener.address());
     client.send(request("listen", "id-1") + request("listen", "id-2"));
     until([&] { return arrivals.size() == 1; });
-    const auto pipe = stream_to_first("served");
-    until([&] { return pipe->unread().empty(); });
+    const auto body_buffer = stream_to_first("served");
+    until([&] { return body_buffer->unread().empty(); });
     no_memory = true;
-    EXPECT_THROW(pipe->mark_complete(), std::bad_alloc);
+    EXPECT_THROW(body_buffer->mark_complete(), std::bad_alloc);
     thrown = 1;
-    expect_ended(client);
+    expect_closed(client);
     EXPECT_EQ(client.answers.size(), 1u);
 }
 
-// A request that came early has stood unread while the one before it waited: that counts, whether a signal
-// interrupts the reads of it a few times or more often than they are repeated at once.
-TEST_F(DownstreamListenerFailure, InterruptedReadOfARequestThatStoodUnread_itsTimeStillCounts) {
-    constexpr Millis kStood = 100;
+// The time that a pipelined request waits unread behind another counts against its time-out. Guards against
+// losing that time if a signal interrupts the reads, a few times or more often than the listener retries at
+// once.
+TEST_F(DownstreamListenerFailure, InterruptedReadOfPipelinedRequest_unreadTimeStillCounts) {
+    constexpr Millis kUnreadTime = 100;
     constexpr int kTimeout = 5000;
     const Ports at_listener{listener.address().port(), 0};
     for (const int times : {1, 2, 3, 100}) {
@@ -124,14 +129,14 @@
         until([&] { return arrivals.size() == 1; });
         faults.fail(SystemCall::receive, 0, 0, at_listener);
         client.send(request("listen", "id-2", kTimeout));
-        until([&] { return faults.call_count(SystemCall::receive) > 0; });  // the listener's look at it
-        const auto stood = SteadyClock::now() + net::to_duration(kStood);
-        until([&] { return SteadyClock::now() > stood; });
+        until([&] { return faults.call_count(SystemCall::receive) > 0; });  // the listener has peeked at it
+        const auto end_of_wait = SteadyClock::now() + net::to_duration(kUnreadTime);
+        until([&] { return SteadyClock::now() > end_of_wait; });
         faults.fail(SystemCall::receive, EINTR, times, at_listener);
         listener.respond(arrivals[0].id, DownstreamListener::Response(http::status::ok, 11));
         until([&] { return arrivals.size() == 2; });
         EXPECT_EQ(faults.failure_count(SystemCall::receive), times);
-        EXPECT_LE(arrivals.back().time_left, kTimeout - kStood) << times;
+        EXPECT_LE(arrivals.back().time_left, kTimeout - kUnreadTime) << times;
     }
 }
 
--- a/tests/recorded_conversation_test.cpp
+++ b/tests/recorded_conversation_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Every byte of recorded conversations: the forms of a request, as a server receives them, and what is
-/// answered to requests that no server receives.
+/// Byte-for-byte comparison of recorded conversations: each form of a request as a server receives it, and
+/// the responses to requests that no server receives.
 #include "recorded_conversation_rig.hpp"
 
 namespace mothring::node::test {
@@ -71,7 +71,7 @@
               "Request-Timeout-Ms: <varies>\r\nContent-Length: 6\r\n\r\na note");
 }
 
-TEST_F(RecordedConversation, PostThatExpectsContinueAndDoesNotWaitForIt) {
+TEST_F(RecordedConversation, PostThatExpectsContinueWithoutWaitingForIt) {
     start_recording({{response("200 OK", "filed")}});
     EXPECT_EQ(answer_to(post + "Expect: 100-continue\r\nContent-Length: 6\r\n\r\na note"),
               "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfiled" + healthy);
@@ -231,12 +231,12 @@
     EXPECT_EQ(server.received(), "");
 }
 
-TEST_F(RecordedConversation, HalfRequestsBeforeTheEnd) {
+TEST_F(RecordedConversation, ClientThatDisconnectsWithinItsRequest) {
     start_recording({{response("200 OK", "a song")}});
-    for (const std::string& half : {std::string("GET /lis"), get, post + "Content-Length: 6\r\n\r\na n",
-                                    post + "Transfer-Encoding: chunked\r\n\r\n6\r\na n"}) {
+    for (const std::string& partial : {std::string("GET /lis"), get, post + "Content-Length: 6\r\n\r\na n",
+                                       post + "Transfer-Encoding: chunked\r\n\r\n6\r\na n"}) {
         RecordingClient& client = connect();
-        client.send(half);
+        client.send(partial);
         client.shut_down_sending();
         until([&] { return client.ended; });
         EXPECT_EQ(client.received, "<closed>");
@@ -244,7 +244,7 @@
     EXPECT_EQ(server.received(), "");
 }
 
-TEST_F(RecordedConversation, HalfALargeRequestBeforeTheEnd) {
+TEST_F(RecordedConversation, ClientThatDisconnectsWithinALargeRequest) {
     constexpr std::size_t kSize = 300000;
     constexpr std::size_t kSent = 200000;
     start_recording({});
@@ -260,7 +260,7 @@
               "Request-Timeout-Ms: <varies>\r\nContent-Length: 300000\r\n\r\n");
 }
 
-TEST_F(RecordedConversation, ClientThatLeavesWhileItsRequestIsServed) {
+TEST_F(RecordedConversation, ClientThatDisconnectsBeforeTheResponse) {
     start_recording({});
     RecordingClient& client = connect();
     client.send(post + "Content-Length: 2\r\n\r\nhi");
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -1,14 +1,14 @@
-// The whole sidecar over loopback sockets, between a scripted client, servers and discovery.
+// The complete sidecar over loopback sockets, with scripted clients, servers and discovery.
 
 #include "net_rig.hpp"
 
 namespace mothring::node::test {
 namespace {
 
-using Net = NetRig;
+using SidecarOverSockets = NetRig;
 const std::string not_started = response("503 Full", "", "Not-Started: 1\r\n");
 
-TEST_F(Net, ServesWhatAServerMade) {
+TEST_F(SidecarOverSockets, ForwardsRequestAndResponse) {
     start_with_a();
     a.script = [](const auto&) { return Reply{response("200 OK", "a song", "Content-Type: audio/x\r\n")}; };
     const auto answer = send_and_wait(request("annotate", "id-1", 5000, "a note"));
@@ -28,13 +28,13 @@
     EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
 
-// An agent that never answers must not keep the sidecar from being ready.
-TEST_F(Net, IsReadyWithASilentAgent) {
+// Guards against a sidecar that is not ready because discovery never answers.
+TEST_F(SidecarOverSockets, IsReadyWhileDiscoveryIsSilent) {
     start();
     EXPECT_EQ(send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n").result_int(), 200u);
 }
 
-TEST_F(Net, OneConnectionCarriesManyRequests) {
+TEST_F(SidecarOverSockets, ReusesUpstreamConnection) {
     start_with_a();
     TestClient& c = client();
     for (std::size_t i = 1; i <= 3; ++i) {
@@ -46,8 +46,9 @@
     EXPECT_EQ(a.connections.size(), 1u);
 }
 
-// Sent before the first is answered, the second waits its turn and is not taken for the client's end.
-TEST_F(Net, AnEarlyNextRequestWaitsItsTurn) {
+// A request that is sent before the response to the previous one waits for that response. Guards against
+// taking its bytes for the client's disconnection.
+TEST_F(SidecarOverSockets, PipelinedRequestWaitsForPreviousResponse) {
     start_with_a();
     TestClient& c = client();
     c.send(request("listen", "id-1"));
@@ -57,8 +58,9 @@
     EXPECT_EQ(a.requests.size(), 2u);
 }
 
-// Rule 2: what may have run is not sent again, nor refused.
-TEST_F(Net, AnUnsafeRequestThatMayHaveRunFails) {
+// The platform requires that a request that may have run and is not idempotent is neither sent again nor
+// reported as rejected.
+TEST_F(SidecarOverSockets, NonIdempotentRequestThatMayHaveRunFails) {
     for (const Reply& reply : {Reply{response("500 Oops")}, Reply{response("503 Full")}, Reply{"", true}}) {
         start();
         a.script = b.script = [&](const auto&) { return reply; };
@@ -71,7 +73,7 @@
     }
 }
 
-TEST_F(Net, AnUnsafeRequestThatNeverRanGoesElsewhere) {
+TEST_F(SidecarOverSockets, NonIdempotentRequestThatDidNotRunIsRetried) {
     start();
     a.script = b.script = [this](const auto&) {
         return Reply{server_request_count() == 1 ? not_started : response("200 OK", "filed")};
@@ -81,8 +83,8 @@
     EXPECT_NE(a.requests.size(), b.requests.size() + 2);
 }
 
-// Refused, so harmless to try again: no more than four attempts, and the answer says so.
-TEST_F(Net, WhatNobodyTakesIsRefused) {
+// Rejected attempts are safe to retry. After at most four attempts the client gets a rejection.
+TEST_F(SidecarOverSockets, RequestRejectedByAllServersIsRejected) {
     start();
     a.script = b.script = [](const auto&) { return Reply{not_started}; };
     EXPECT_EQ(send_and_wait(request("deposit", "id-1")).result_int(), 503u);
@@ -90,7 +92,7 @@
     EXPECT_GE(server_request_count(), 1u);
 }
 
-TEST_F(Net, AServerThatIsDownIsNoLoss) {
+TEST_F(SidecarOverSockets, UnreachableServerLosesNoRequest) {
     b.close();
     start();
     for (int i = 0; i < 8; ++i)
@@ -98,15 +100,16 @@
     EXPECT_EQ(a.requests.size(), 8u);
 }
 
-// Rule 1 with a silent server: one failure at the deadline, and nothing after it.
-TEST_F(Net, ASilentServerCostsOneFailureAtTheDeadline) {
+// The platform requires one final answer by the deadline. A silent server costs one failure at the deadline,
+// and nothing is sent to it afterwards.
+TEST_F(SidecarOverSockets, SilentServerCausesOneFailureAtDeadline) {
     start_with_a();
     a.script = silence;
     TestClient& c = client();
     c.send(request("deposit", "id-1", 60));
     until([&] { return !c.answers.empty(); });
     EXPECT_EQ(c.answers[0].result_int(), 504u);
-    until([&] { return a.ended_count() == 1; });  // a try that ends by time closes its connection
+    until([&] { return a.ended_count() == 1; });  // an attempt that times out closes its connection
     a.script = serve;
     c.send(request("deposit", "id-2"));
     until([&] { return c.answers.size() == 2; });
@@ -115,7 +118,7 @@
     EXPECT_EQ(sidecar->request_count(), 0u);
 }
 
-TEST_F(Net, AClientThatLeavesIsForgottenWithItsAttempt) {
+TEST_F(SidecarOverSockets, ClientDisconnectCancelsItsAttempt) {
     start_with_a();
     a.script = silence;
     TestClient& c = client();
@@ -127,8 +130,8 @@
     EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
 
-// Rule 3.
-TEST_F(Net, ADrainingServerGetsNothingNew) {
+// The platform requires that a draining server receives no new requests.
+TEST_F(SidecarOverSockets, DrainingServerReceivesNoNewRequests) {
     start();
     until([&] { return is_watched_from("41"); });
     send_list(list_json(42, false, {{"s-a", a.address(), "Terminating"}}));
@@ -138,7 +141,7 @@
     EXPECT_EQ(a.requests.size(), 0u);
 }
 
-TEST_F(Net, AServerThatIsGoneOrLeftOutOfAFullListGetsNothing) {
+TEST_F(SidecarOverSockets, RemovedServerReceivesNoRequests) {
     start();
     until([&] { return is_watched_from("41"); });
     send_list(list_json(42, false, {{"s-a", a.address(), "Gone"}}));
@@ -152,7 +155,7 @@
     EXPECT_EQ(b.requests.size(), 1u);
 }
 
-TEST_F(Net, AServerThatMovesIsMetAtItsNewAddress) {
+TEST_F(SidecarOverSockets, MovedServerIsUsedAtItsNewAddress) {
     start_with_a();
     EXPECT_EQ(send_and_wait(request("listen", "id-1")).result_int(), 200u);
     until([&] { return is_watched_from("41"); });
@@ -162,16 +165,16 @@
     EXPECT_EQ(b.requests.size(), 1u);
 }
 
-// A watch that ends, garbled or not, is followed by another, from the version that is held.
-TEST_F(Net, ALostWatchIsBegunAgain) {
+// A watch that ends, with or without a malformed response, is followed by another from the current version.
+TEST_F(SidecarOverSockets, LostWatchIsRestarted) {
     start();
     for (const Reply& reply :
          {Reply{"", true}, Reply{"no HTTP\r\n\r\n", true}, Reply{response("503 Busy")},
           Reply{response("200 OK", "{\"version\":99,\"full\":true")},
           Reply{response("200 OK", "{\"version\":99,\"full\":true,\"servers\":[{}]}")}}) {
         const std::size_t before = agent.requests.size();
-        bool told = false;
-        agent.script = [&](const auto&) { return std::exchange(told, true) ? Reply{} : reply; };
+        bool has_replied = false;
+        agent.script = [&](const auto&) { return std::exchange(has_replied, true) ? Reply{} : reply; };
         if (before > 0) agent.connections.back()->socket.close();
         until([&] { return agent.requests.size() >= before + 2 && is_watched_from("41"); });
         agent.script = silence;
@@ -180,17 +183,17 @@
     until([&] { return is_watched_from("42"); });
 }
 
-// A watch that falls silent right after its call misses drains that count as told 6 s later (PROTOCOL,
-// "Figures"): another is out in time for a whole fleet's calls to be handled in turn, and the first is left
-// once that one is answered.
-TEST_F(Net, AWatchThatFellSilentIsBegunAnewBesideItInTime) {
+// A watch that becomes silent right after its call misses drains, which count as notified 6 s later. The
+// sidecar must start a second watch early enough for discovery to handle the calls of a complete fleet one
+// after another by then, and close the first watch once the second is answered.
+TEST_F(SidecarOverSockets, SecondWatchStartsInTimeAlongsideSilentOne) {
     start();
     until([&] { return agent.requests.size() == 1; });
     const auto called = std::chrono::steady_clock::now();
     until([&] { return agent.requests.size() == 2; });
     EXPECT_LE(std::chrono::steady_clock::now() - called, std::chrono::milliseconds(3000));
     EXPECT_EQ(agent.connections.size(), 2u);
-    EXPECT_EQ(agent.ended_count(), 0u) << "it may only be slow";
+    EXPECT_EQ(agent.ended_count(), 0u) << "the first watch may only be slow";
     send_list(list_json(42, false, {{"s-a", a.address(), "Terminating"}}));
     until([&] { return is_watched_from("42") && agent.ended_count() == 1; });
     EXPECT_EQ(agent.connections.size(), 2u);
@@ -199,7 +202,7 @@
     EXPECT_EQ(a.requests.size(), 0u);
 }
 
-TEST_F(Net, AWatchThatWasOnlySlowGoesOn) {
+TEST_F(SidecarOverSockets, SlowWatchContinues) {
     start();
     until([&] { return agent.requests.size() == 2; });
     agent.send(0, response("200 OK", list_json(42, false, {{"s-a", a.address(), "Terminating"}})));
@@ -208,9 +211,9 @@
     EXPECT_TRUE(agent.connections[1]->ended);
 }
 
-// An older version than what is held changes nothing; the whole list is asked for, and that is taken as it
-// is.
-TEST_F(Net, AnOlderListIsNotTakenUntilItIsTheWholeOne) {
+// An update older than the current version is ignored and the full list requested. That list is accepted
+// whatever its version.
+TEST_F(SidecarOverSockets, OlderListIsIgnoredUnlessItIsFull) {
     start();
     until([&] { return is_watched_from("41"); });
     send_list(
@@ -225,9 +228,9 @@
     EXPECT_EQ(a.requests.size(), before);
 }
 
-// Some hundreds of servers are usual; 1,024 come whole and as changes, within the least limits of a
-// deployment.
-TEST_F(Net, AThousandServersComeWholeAndAsChanges) {
+// Some hundreds of servers are usual. 1,024 servers must be handled as a full list and as an update, within
+// the smallest limits of a deployment.
+TEST_F(SidecarOverSockets, HandlesThousandServersInFullListAndUpdate) {
     std::vector<ListedServer> many{{"s-b", b.address()}};
     for (int i = 0; i < 1023; ++i) many.push_back({"s-" + std::to_string(i), a.address()});
     start({{"s-b", b.address()}}, "256");
@@ -237,7 +240,7 @@
     for (int i = 0; i < 300; ++i)
         EXPECT_EQ(send_and_wait(request("listen", std::to_string(i))).result_int(), 200u);
     EXPECT_GT(a.requests.size(), 200u);
-    // Every server has connections of its own, and each idle one makes room for another.
+    // Every server has its own connections, and idle ones are closed to free capacity for others.
     EXPECT_LE(a.connections.size() - a.ended_count() + b.connections.size() - b.ended_count(),
               (256u - 24u) / 2);
     for (ListedServer& server : many)
@@ -251,8 +254,9 @@
     EXPECT_EQ(sidecar->metrics().servers_unavailable, 1023u);
 }
 
-// SIGHUP: the watch goes on at the new address from the version that is held, and the old one is left.
-TEST_F(Net, AMovedDiscoveryIsWatchedWhereItIs) {
+// After SIGHUP the sidecar watches the new address from the current version and closes the watch at the old
+// one.
+TEST_F(SidecarOverSockets, WatchMovesToNewDiscoveryAddress) {
     ScriptedServer moved(io, silence);
     start();
     until([&] { return is_watched_from("41"); });
@@ -265,15 +269,15 @@
     for (int i = 0; i < 4; ++i)
         EXPECT_EQ(send_and_wait(request("listen", std::to_string(i))).result_int(), 200u);
     EXPECT_EQ(a.requests.size(), 0u);
-    sidecar->reconfigure(config);  // nothing new: the watch stays
+    sidecar->reconfigure(config);  // no change, so the watch stays open
     EXPECT_EQ(send_and_wait(request("listen", "last")).result_int(), 200u);
     EXPECT_EQ(moved.ended_count(), 0u);
     EXPECT_EQ(agent.requests.size(), 1u);
 }
 
-// Where lists are asked for, what the new address reports counts as told 4 s after the signal (TERMS): whom
-// it has no room for asks again until then, and not at the patient pace of other failures.
-TEST_F(Net, AMovedDiscoveryWithoutRoomIsAskedAgainInTime) {
+// If lists are polled, the content of the new address counts as notified 4 s after the signal. A sidecar that
+// this address rejects as busy must retry within that time, not at the slower rate used for other failures.
+TEST_F(SidecarOverSockets, RetriesBusyDiscoveryInTimeAfterMove) {
     ScriptedServer moved(io, [](const auto&) { return Reply{response("503 Busy")}; });
     const auto config = [&](const std::string& discovery) {
         std::string text = config_json(discovery, list_json(41, true, {{"s-a", a.address()}}));
@@ -288,7 +292,7 @@
     EXPECT_LE(std::chrono::steady_clock::now() - signal, std::chrono::milliseconds(4000));
 }
 
-TEST_F(Net, BadRequestsAreAnsweredAndClosedWithoutTheModule) {
+TEST_F(SidecarOverSockets, MalformedRequestsAreRejectedAndClosedWithoutServers) {
     start();
     const std::string head = "GET /listen HTTP/1.1\r\nHost: app.svc\r\n";
     for (const std::string& bad :
@@ -307,9 +311,9 @@
     EXPECT_EQ(send_and_wait(request("listen", "id-1")).result_int(), 200u);
 }
 
-// Found on page9581: a flood of requests of classes nobody configured went to the servers, which had no use
-// for them, and filled the share of the tenants it named.
-TEST_F(Net, AnUnknownClassOrAWrongFormIsAnsweredWithoutTheServers) {
+// Guards against a fault in which a flood of requests of unconfigured classes was sent to servers that could
+// not process them, and used up the shares of the tenants that they named.
+TEST_F(SidecarOverSockets, UnknownClassOrWrongFormIsRejectedWithoutServers) {
     start();
     const auto changed = [](std::string text, const std::string& what, const std::string& by) {
         return text.replace(text.find(what), what.size(), by);
@@ -329,9 +333,9 @@
     EXPECT_EQ(send_and_wait(note).result_int(), 200u);
 }
 
-// Found on page9581: requests that every server answers with 400 were tried at five servers each and counted
-// against all of them, until half of a healthy pool was removed.
-TEST_F(Net, ARequestThatServersFindFaultWithIsItsOwnFaultAndNotTheirs) {
+// Guards against a fault in which requests that every server answers with 400 were sent to five servers each
+// and counted as failures of all of them, until half of a healthy pool was ejected.
+TEST_F(SidecarOverSockets, BadRequestResponseIsNotRetriedAndEjectsNoServer) {
     start();
     a.script = b.script = [](const auto& r) {
         return Reply{r["Request-Id"].starts_with("bad") ? response("400 Bad Request", "no such sheet")
@@ -342,18 +346,18 @@
         EXPECT_EQ(answer.result_int(), 400u);
         EXPECT_EQ(answer.body(), "no such sheet");
     }
-    EXPECT_EQ(server_request_count(), 40u) << "none is tried twice";
+    EXPECT_EQ(server_request_count(), 40u) << "no request is sent twice";
     EXPECT_EQ(sidecar->request_count(), 0u);
     const std::size_t at_a = a.requests.size(), at_b = b.requests.size();
     for (int i = 0; i < 40; ++i)
         EXPECT_EQ(send_and_wait(request("listen", "id-" + std::to_string(i))).body(), "served");
-    EXPECT_GT(a.requests.size(), at_a) << "neither is out of the pool";
+    EXPECT_GT(a.requests.size(), at_a) << "neither server is ejected";
     EXPECT_GT(b.requests.size(), at_b);
 }
 
-// Whoever connects is owed an error or a close within 3 s, also who sends nothing or only a part, however
-// it trickles. The application's own connections stay.
-TEST_F(Net, APeerThatSendsNothingOrAPartIsEndedInTime) {
+// A client that sends nothing or only part of a request gets an error response or a close within 3 s, however
+// slowly its bytes arrive. An idle connection that has served a request stays open.
+TEST_F(SidecarOverSockets, ClientWithoutCompleteRequestIsDisconnectedInTime) {
     start_with_a();
     TestClient& kept = client();
     kept.send(request("listen", "id-1"));
@@ -361,8 +365,8 @@
     const auto began = std::chrono::steady_clock::now();
     TestClient &silent = client(), &partial = client(), &body = client();
     partial.send("GET /listen HTT");
-    const std::string whole = request("deposit", "id-2", 5000, "a body");
-    body.send(whole.substr(0, whole.size() - 2));
+    const std::string message = request("deposit", "id-2", 5000, "a body");
+    body.send(message.substr(0, message.size() - 2));
     until([&] { return silent.ended && partial.ended && body.ended; });
     EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::milliseconds(4500));
     EXPECT_FALSE(kept.ended);
@@ -371,9 +375,9 @@
     EXPECT_EQ(a.requests.size(), 2u);
 }
 
-// SIGTERM: what is held is finished, what still comes is answered, each with the connection's end, then it is
-// done.
-TEST_F(Net, ADrainFinishesWhatIsHeldAndWhatStillComes) {
+// After SIGTERM the sidecar completes the requests in flight, answers those that still arrive, closes each
+// connection after its response and then reports the drain as complete.
+TEST_F(SidecarOverSockets, DrainCompletesRequestsInFlightAndNewOnes) {
     start_with_a();
     a.script = silence;
     TestClient& c = client();
@@ -397,9 +401,9 @@
     EXPECT_FALSE(c.answers[0].keep_alive());
 }
 
-// A request taken right before the end may have longer than the 3.5 s after which connections without one are
-// ended: it is answered first.
-TEST_F(Net, ADrainEndsNoConnectionThatIsOwedAnAnswer) {
+// A drain closes connections without a request after 3.5 s. A request accepted before that may have a later
+// deadline and must be answered first.
+TEST_F(SidecarOverSockets, DrainKeepsConnectionsThatAwaitResponse) {
     start_with_a();
     a.script = silence;
     TestClient& c = client();
@@ -414,9 +418,9 @@
     EXPECT_EQ(c.answers[0].result_int(), 504u);
 }
 
-// At the bound on clients the one idle longest makes room, and never one that waits for its answer.
-TEST_F(Net, IdleClientsMakeRoom) {
-    start({{"s-a", a.address()}}, "28");  // of which eight are for clients and servers
+// At the connection limit the longest idle client is evicted, and never one that waits for its response.
+TEST_F(SidecarOverSockets, EvictsIdleClientsAtConnectionLimit) {
+    start({{"s-a", a.address()}}, "28");  // of which eight are for client and server connections
     a.script = silence;
     TestClient& waiting = client();
     waiting.send(request("listen", "id-1"));
@@ -428,8 +432,9 @@
     until([&] { return waiting.answers.size() == 1; });
 }
 
-// Out of descriptors: accepting pauses, neither spins nor dies, and goes on when there are some again.
-TEST_F(Net, RunsOutOfDescriptorsAndGoesOn) {
+// Without free descriptors the sidecar pauses accepting and resumes once some are free. Guards against a busy
+// loop and against accepting that never resumes.
+TEST_F(SidecarOverSockets, ResumesAcceptingAfterDescriptorExhaustion) {
     start_with_a();
     TestClient& c = client();
     c.send(request("listen", "id-1"));
@@ -438,15 +443,15 @@
     std::optional<DescriptorExhaustion> no_descriptors(std::in_place);
     waiting.send(request("listen", "id-2"));
     for (int turns = 0; turns < 20; ++turns) io.run_one_for(std::chrono::milliseconds(10));
-    c.send(request("listen", "id-3"));  // a connection that is there still serves
+    c.send(request("listen", "id-3"));  // an existing connection is still served
     until([&] { return c.answers.size() == 2; });
     EXPECT_TRUE(waiting.answers.empty());
     no_descriptors.reset();
     until([&] { return waiting.answers.size() == 1; });
 }
 
-// Many at once, over servers of which one fails: each request has exactly one answer.
-TEST_F(Net, EachRequestGetsExactlyOneAnswer) {
+// Sends many requests at once to two servers of which one fails. Each request must get exactly one response.
+TEST_F(SidecarOverSockets, EachRequestGetsExactlyOneResponse) {
     start();
     int turn = 0;
     a.script = [&](const auto&) {
@@ -476,15 +481,15 @@
         EXPECT_EQ(c->answers.size(), 1u);
         EXPECT_FALSE(c->ended);
     }
-    std::map<std::string, int> unsafe;
+    std::map<std::string, int> non_idempotent;
     for (const auto* server : {&a, &b})
         for (const auto& r : server->requests)
-            if (r["Request-Class"] == "deposit") ++unsafe[std::string(r["Request-Id"])];
-    for (const auto& [id, count] : unsafe) EXPECT_LE(count, 4) << id;
+            if (r["Request-Class"] == "deposit") ++non_idempotent[std::string(r["Request-Id"])];
+    for (const auto& [id, count] : non_idempotent) EXPECT_LE(count, 4) << id;
     EXPECT_EQ(sidecar->gauges().requests, 0u);
 }
 
-TEST(Peers, MessagesComeFromPeersAndAreShort) {
+TEST(Peers, IgnoresStrangersAndOversizeMessages) {
     asio::io_context io;
     const net::Udp::endpoint any(asio::ip::address_v4::loopback(), 0);
     net::Udp::socket one(io, any), stranger(io, any);
@@ -503,7 +508,7 @@
     two.tell(std::nullopt, {1});
     two.tell(0, {7, 8});
     std::array<char, 300> buffer{};
-    EXPECT_EQ(one.receive(asio::buffer(buffer)), 2u);  // the one before it was too long and never left
+    EXPECT_EQ(one.receive(asio::buffer(buffer)), 2u);  // the earlier message was too long and was not sent
 }
 
 }  // namespace
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -1,4 +1,4 @@
-// Bodies too large to keep, slow peers, and the forms that HTTP/1.1 gives a message.
+// Bodies that are too large to buffer, slow peers, and the forms of an HTTP/1.1 message.
 #include <numeric>
 
 #include "net_rig.hpp"
@@ -12,14 +12,14 @@
     return text;
 }
 
-// A peer that reads and writes bytes as the test says, in one io_context with what is tested.
+// A peer whose reads and writes the test controls, in the io_context of the sidecar under test.
 struct RawPeer {
-    explicit RawPeer(net::Tcp::socket s) : socket(std::move(s)) { socket.non_blocking(true); }
+    explicit RawPeer(net::Tcp::socket connected) : socket(std::move(connected)) { socket.non_blocking(true); }
     RawPeer(asio::io_context& io, const net::Tcp::endpoint& address) : socket(io) {
         socket.connect(address);
         socket.non_blocking(true);
     }
-    // What may be written now; the rest stays in `out`.
+    // Writes as much of `out` as the socket accepts now.
     void write() {
         error_code error;
         while (sent < out.size() && !error) sent += socket.write_some(asio::buffer(out) + sent, error);
@@ -41,11 +41,11 @@
     std::string in, out;
     std::size_t sent = 0;  // of `out`
     bool ended = false;
-    error_code error;  // by which it has ended
+    error_code error;  // that ended the connection
 };
 
 struct Stream : NetRig {
-    // In place of server a: whatever connects there, for the test to play.
+    // Replaces server a; the test plays the server on each connection accepted here.
     net::Tcp::acceptor raw{io, any_port};
     std::list<RawPeer> servers;
     std::string raw_address() const { return "127.0.0.1:" + std::to_string(raw.local_endpoint().port()); }
@@ -65,8 +65,8 @@
         sidecar.emplace(io, std::move(config));
     }
     void pass() { io.restart(), io.run_one_for(std::chrono::milliseconds(2)); }
-    // Until then, with both ends of everything moving.
-    void move_until(std::list<RawPeer>& peers, const std::function<bool()>& reached) {
+    // Runs until the condition holds, with all clients and servers reading and writing.
+    void exchange_until(std::list<RawPeer>& peers, const std::function<bool()>& reached) {
         until([&] {
             for (RawPeer& p : peers) p.turn();
             for (RawPeer& p : servers) p.turn();
@@ -77,85 +77,89 @@
         const auto head = bytes.find("\r\n\r\n");
         return head == std::string_view::npos ? "" : bytes.substr(head + 4);
     }
-    int sum(const std::string& ending) const {
+    int count_requests(const std::string& outcome) const {
         std::uint64_t all = 0;
         for (const auto& c : sidecar->metrics().classes)
-            all += ending == "served" ? c.served : ending == "refused" ? c.rejected : c.failed;
+            all += outcome == "served" ? c.served : outcome == "refused" ? c.rejected : c.failed;
         return static_cast<int>(all);
     }
 };
 
-TEST_F(Stream, LargeBodiesPassBothWaysByteForByte) {
+TEST_F(Stream, ForwardsLargeBodiesUnchangedInBothDirections) {
     start_raw();
     const std::string up = pattern(5 << 20), down = pattern(32 << 20);
     std::list<RawPeer> peers;
     peers.emplace_back(io, sidecar->address()).out = request("deposit", "id-1", 5000, up);
-    move_until(peers, [&] { return !servers.empty() && body_of(servers.front().in).size() >= up.size(); });
+    exchange_until(peers,
+                   [&] { return !servers.empty() && body_of(servers.front().in).size() >= up.size(); });
     EXPECT_TRUE(body_of(servers.front().in) == up);
     servers.front().out = response("200 OK", down);
-    move_until(peers, [&] { return peers.front().in.size() > down.size(); });
+    exchange_until(peers, [&] { return peers.front().in.size() > down.size(); });
     EXPECT_TRUE(body_of(peers.front().in) == down) << peers.front().in.substr(0, 200);
     until([&] { return sidecar->metrics().in_flight == 0; });
-    EXPECT_EQ(sum("served"), 1);
+    EXPECT_EQ(count_requests("served"), 1);
     EXPECT_EQ(sidecar->request_count(), 0u);
 }
 
-// The first bytes go out while the rest is yet to come, and a pause within it ends nothing.
-TEST_F(Stream, TheFirstBytesOfALargeAnswerGoOutAtOnce) {
+// Guards against a sidecar that buffers a large response before it forwards it, and against one that applies
+// the request's deadline to a response that has begun.
+TEST_F(Stream, ForwardsFirstBytesOfLargeResponseAtOnce) {
     start_raw();
     std::list<RawPeer> peers;
     peers.emplace_back(io, sidecar->address()).out = request("listen", "id-1", 300);
-    move_until(peers, [&] { return !servers.empty() && !servers.front().in.empty(); });
+    exchange_until(peers, [&] { return !servers.empty() && !servers.front().in.empty(); });
     servers.front().out = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + std::string(10, 'a');
-    move_until(peers, [&] { return body_of(peers.front().in).size() == 10; });
-    const auto late = std::chrono::steady_clock::now() + std::chrono::milliseconds(400);  // past its deadline
-    move_until(peers, [&] { return std::chrono::steady_clock::now() > late; });
+    exchange_until(peers, [&] { return body_of(peers.front().in).size() == 10; });
+    const auto late = std::chrono::steady_clock::now() + std::chrono::milliseconds(400);  // past the deadline
+    exchange_until(peers, [&] { return std::chrono::steady_clock::now() > late; });
     servers.front().out = std::string(99990, 'b');
-    move_until(peers, [&] { return body_of(peers.front().in).size() == 100000; });
+    exchange_until(peers, [&] { return body_of(peers.front().in).size() == 100000; });
     EXPECT_NE(peers.front().in.find("\r\nContent-Length: 100000\r\n"), std::string::npos);
-    move_until(peers, [&] { return sum("served") == 1; });
+    exchange_until(peers, [&] { return count_requests("served") == 1; });
 }
 
-// Its client can't be given any other answer any more, so it is given up only when the server has been silent
-// for the longest deadline: a pause of 2 s, which loses a request where the sidecar makes it, cuts off
-// nothing.
-TEST_F(Stream, ASilentServerWithinItsAnswerIsWaitedForAndGivenUp) {
+// A response that has begun cannot be replaced by another, so the sidecar gives it up only after the server
+// has been silent for the longest deadline. A server's pause of 2 s must not cut the response off; a pause of
+// the same length in the sidecar would lose the request.
+TEST_F(Stream, WaitsForServerSilentWithinResponseThenTimesOut) {
     using std::chrono::milliseconds;
-    constexpr milliseconds kPauseOfAServer{2200}, kGivenUpAfter{3000}, kSlackOfTheLoop{500};
+    constexpr milliseconds kServerPause{2200}, kTimeout{3000}, kLoopTolerance{500};
     start_raw();
     std::list<RawPeer> peers;
     peers.emplace_back(io, sidecar->address()).out = request("listen", "id-1", 300);
-    move_until(peers, [&] { return !servers.empty() && !servers.front().in.empty(); });
+    exchange_until(peers, [&] { return !servers.empty() && !servers.front().in.empty(); });
     servers.front().out = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst";
-    move_until(peers, [&] { return body_of(peers.front().in) == "first"; });
-    const auto later = std::chrono::steady_clock::now() + kPauseOfAServer;
-    move_until(peers, [&] { return std::chrono::steady_clock::now() > later; });
+    exchange_until(peers, [&] { return body_of(peers.front().in) == "first"; });
+    const auto later = std::chrono::steady_clock::now() + kServerPause;
+    exchange_until(peers, [&] { return std::chrono::steady_clock::now() > later; });
     servers.front().out = "second";
-    move_until(peers, [&] { return body_of(peers.front().in) == "firstsecond"; });
+    exchange_until(peers, [&] { return body_of(peers.front().in) == "firstsecond"; });
     const auto silent_since = std::chrono::steady_clock::now();
-    move_until(peers, [&] { return peers.front().ended; });
-    EXPECT_LT(std::chrono::steady_clock::now() - silent_since, kGivenUpAfter + kSlackOfTheLoop);
+    exchange_until(peers, [&] { return peers.front().ended; });
+    EXPECT_LT(std::chrono::steady_clock::now() - silent_since, kTimeout + kLoopTolerance);
     until([&] { return sidecar->request_count() == 0 && sidecar->metrics().in_flight == 0; });
-    EXPECT_EQ(sum("served"), 0);
+    EXPECT_EQ(count_requests("served"), 0);
 }
 
-// Neither length nor end is known: what there is goes on after a while, in chunks.
-TEST_F(Stream, AnAnswerInChunksIsPassedOnAsItComes) {
+// Guards against holding back a response of unknown length until its end: bytes that have arrived are
+// forwarded in chunks after a short delay.
+TEST_F(Stream, ForwardsChunkedResponseAsItArrives) {
     start_raw();
     std::list<RawPeer> peers;
     peers.emplace_back(io, sidecar->address()).out = request("listen", "id-1");
-    move_until(peers, [&] { return !servers.empty() && !servers.front().in.empty(); });
+    exchange_until(peers, [&] { return !servers.empty() && !servers.front().in.empty(); });
     servers.front().out = "HTTP/1.1 200 OK\r\ntransfer-ENCODING: Chunked\r\n\r\n5;x=\"y\"\r\nfirst\r\n";
-    move_until(peers, [&] { return peers.front().in.find("first") != std::string::npos; });
+    exchange_until(peers, [&] { return peers.front().in.find("first") != std::string::npos; });
     servers.front().out = "6\r\nsecond\r\n0\r\nTrailer-Of: it\r\n\r\n";
-    move_until(peers, [&] { return peers.front().in.find("0\r\n\r\n") != std::string::npos; });
+    exchange_until(peers, [&] { return peers.front().in.find("0\r\n\r\n") != std::string::npos; });
     EXPECT_NE(peers.front().in.find("6\r\nsecond\r\n"), std::string::npos) << peers.front().in;
     EXPECT_FALSE(peers.front().ended);
 }
 
-// More at a time than there is memory for, to readers that take nothing: the servers are not read further.
-TEST_F(Stream, SlowReadersHoldBackTheServersAndMemoryStaysBounded) {
-    start_raw("8");  // of which 2 MB for bodies in passing
+// Guards against unbounded buffering: if clients do not read and the memory for bodies is in use, the sidecar
+// must stop reading from the servers.
+TEST_F(Stream, SlowClientsStopReadsFromServersAndMemoryStaysBounded) {
+    start_raw("8");  // of which 2 MB are for bodies being forwarded
     const std::size_t count = 24, size = 32 << 20;
     std::list<RawPeer> readers;
     for (std::size_t i = 0; i < count; ++i) {
@@ -181,7 +185,7 @@
         }
     };
     std::size_t before = 1, same = 0;
-    until([&] {  // until nothing more is taken from the servers for a while
+    until([&] {  // until the sidecar has read nothing more from the servers for a while
         serve();
         const std::size_t all = std::accumulate(sent.begin(), sent.end(), std::size_t{0});
         same = all == before && all > count * piece.size() ? same + 1 : 0;
@@ -189,17 +193,18 @@
         return same > 100;
     });
     EXPECT_LE(sidecar->buffered_bytes(), (2u << 20) + count * net::BodyBuffer::kMinCapacity);
-    EXPECT_LT(before, count * size / 2) << "the kernel's buffers are far smaller than that";
-    // Others are served meanwhile.
+    EXPECT_LT(before, count * size / 2) << "the kernel's buffers hold far less than that";
+    // Other clients are served meanwhile.
     EXPECT_EQ(send_and_wait("GET /_health HTTP/1.1\r\n\r\n").result_int(), 200u);
     for (RawPeer& reader : readers) EXPECT_FALSE(reader.ended);
     readers.clear();
     until([&] { return sidecar->request_count() == 0 && sidecar->buffered_bytes() == 0; });
-    EXPECT_EQ(sum("failed"), static_cast<int>(count));
+    EXPECT_EQ(count_requests("failed"), static_cast<int>(count));
 }
 
-// An answer that breaks off after it has begun ends so that the client can tell, and is not tried again.
-TEST_F(Stream, AnAnswerThatBreaksOffIsSeenToBeBroken) {
+// Guards against a truncated response that looks complete to the client, and against a retry after the
+// response has begun.
+TEST_F(Stream, ClientDetectsTruncatedResponse) {
     start_raw();
     int number = 0;
     for (const std::string& head :
@@ -210,20 +215,20 @@
         std::list<RawPeer> peers;
         peers.emplace_back(io, sidecar->address()).out = request("listen", "id-" + std::to_string(++number));
         const std::size_t connections = servers.size();
-        move_until(peers, [&] { return servers.size() > connections && !servers.back().in.empty(); });
+        exchange_until(peers, [&] { return servers.size() > connections && !servers.back().in.empty(); });
         servers.back().out = head;
-        move_until(peers, [&] { return peers.front().in.size() > 60000 && servers.back().out.empty(); });
+        exchange_until(peers, [&] { return peers.front().in.size() > 60000 && servers.back().out.empty(); });
         servers.back().socket.close();
-        move_until(peers, [&] { return peers.front().ended; });
+        exchange_until(peers, [&] { return peers.front().ended; });
         EXPECT_EQ(peers.front().in.find("\r\n0\r\n"), std::string::npos);
         until([&] { return sidecar->request_count() == 0; });
-        EXPECT_EQ(sum("failed"), number);
+        EXPECT_EQ(count_requests("failed"), number);
     }
-    EXPECT_EQ(servers.size(), 3u) << "no second try";
+    EXPECT_EQ(servers.size(), 3u) << "no second attempt";
 }
 
-// What is small and whole is kept: a try that breaks is followed by another.
-TEST_F(Stream, ASmallAnswerThatBreaksIsTriedAgain) {
+// A small response is buffered until it is complete, so an attempt that breaks off within it can be retried.
+TEST_F(Stream, RetriesAfterTruncatedSmallResponse) {
     start();
     int turn = 0;
     a.script = b.script = [&](const auto&) {
@@ -234,8 +239,8 @@
     EXPECT_EQ(send_and_wait(request("listen", "id-1")).body(), std::string(50000, 'b'));
 }
 
-// A body that is not kept any more can't be sent again, whatever its class allows.
-TEST_F(Stream, ALargeRequestHasNoSecondTryOnceItIsNotKept) {
+// A request body that is no longer buffered cannot be sent again, even if its class allows retries.
+TEST_F(Stream, DoesNotRetryLargeRequestOnceItsBodyIsDiscarded) {
     start();
     int turn = 0;
     a.script = b.script = [&](const auto&) {
@@ -243,29 +248,29 @@
     };
     std::list<RawPeer> peers;
     peers.emplace_back(io, sidecar->address()).out = request("annotate", "id-1", 5000, pattern(1 << 20));
-    move_until(peers, [&] { return peers.front().in.find("\r\n\r\n") != std::string::npos; });
+    exchange_until(peers, [&] { return peers.front().in.find("\r\n\r\n") != std::string::npos; });
     EXPECT_EQ(peers.front().in.substr(0, 12), "HTTP/1.1 503");
     EXPECT_EQ(turn, 1);
-    // Kept, it can.
+    // A body that is still buffered can be sent again.
     turn = 0;
     EXPECT_EQ(send_and_wait(request("annotate", "id-2", 5000, pattern(60000))).result_int(), 200u);
     EXPECT_EQ(turn, 2);
 }
 
-// Its time counts from its last byte, however slowly that came.
-TEST_F(Stream, ASlowBodyIsGivenItsTimeAndTheAnswerTooFromItsLastByte) {
+// The time-out of a request counts from its last byte, however slowly the body arrives.
+TEST_F(Stream, TimeoutOfSlowRequestCountsFromItsLastByte) {
     start_with_a();
     TestClient& c = client();
-    const std::string body = pattern(100000), whole = request("deposit", "id-1", 250, body);
-    std::size_t sent = whole.size() - body.size();
-    c.send(whole.substr(0, sent));
+    const std::string body = pattern(100000), message = request("deposit", "id-1", 250, body);
+    std::size_t sent = message.size() - body.size();
+    c.send(message.substr(0, sent));
     asio::steady_timer pace(io);
-    while (sent < whole.size()) {  // 25 kB every 120 ms
+    while (sent < message.size()) {  // 25 kB every 120 ms
         bool due = false;
         pace.expires_after(std::chrono::milliseconds(120));
         pace.async_wait([&](error_code) { due = true; });
         until([&] { return due; });
-        c.send(whole.substr(sent, 25000));
+        c.send(message.substr(sent, 25000));
         sent += 25000;
     }
     until([&] { return !c.answers.empty() || c.ended; });
@@ -274,15 +279,15 @@
     EXPECT_EQ(a.requests.at(0).body(), body);
 }
 
-// A small request may come in pieces with pauses between them, for two seconds in all.
-TEST_F(Stream, ASmallRequestInPiecesIsNotCutOff) {
+// A small request may arrive in pieces with pauses between them, within two seconds in total.
+TEST_F(Stream, AcceptsSmallRequestInPieces) {
     start_with_a();
     TestClient& c = client();
-    const std::string whole = request("deposit", "id-1", 250, "hello");
+    const std::string message = request("deposit", "id-1", 250, "hello");
     asio::steady_timer pace(io);
-    for (const std::size_t from : {whole.size() - 5, whole.size() - 3, whole.size() - 1}) {
-        c.send(from + 5 == whole.size() ? whole.substr(0, from + 2) : whole.substr(from, 2));
-        bool due = from + 1 == whole.size();
+    for (const std::size_t from : {message.size() - 5, message.size() - 3, message.size() - 1}) {
+        c.send(from + 5 == message.size() ? message.substr(0, from + 2) : message.substr(from, 2));
+        bool due = from + 1 == message.size();
         pace.expires_after(std::chrono::milliseconds(900));
         pace.async_wait([&](error_code) { due = true; });
         until([&] { return due || c.ended; });
@@ -292,7 +297,7 @@
     EXPECT_EQ(c.answers[0].result_int(), 200u);
 }
 
-TEST_F(Stream, MoreThanTheLargestBodyIs413) {
+TEST_F(Stream, BodyAboveMaximumSizeIs413) {
     start_with_a();
     const std::string head = "POST /deposit HTTP/1.1\r\nRequest-Id: x\r\nRequest-Timeout-Ms: 900\r\n";
     EXPECT_EQ(send_and_wait(head + "Content-Length: 33554433\r\n\r\n").result_int(), 413u);
@@ -323,8 +328,8 @@
     EXPECT_EQ(sidecar->request_count(), 0u);
 }
 
-// The same request in every form, cut anywhere.
-TEST_F(Stream, EveryFormOfARequestIsTheSameRequest) {
+// Sends one request in every form that HTTP/1.1 allows, split at different positions.
+TEST_F(Stream, AcceptsEveryFormOfRequest) {
     start_with_a();
     a.script = [](const auto& r) { return Reply{response("200 OK", "got " + r.body())}; };
     const std::string head =
@@ -348,19 +353,19 @@
     }
 }
 
-TEST_F(Stream, AClientThatExpects100IsToldToGoOn) {
+TEST_F(Stream, SendsContinueToClientThatExpectsIt) {
     start_with_a();
     std::list<RawPeer> peers;
     RawPeer& peer = peers.emplace_back(io, sidecar->address());
-    const std::string whole = request("deposit", "id-1", 5000, "hello");
-    peer.out = whole.substr(0, whole.size() - 9) + "\r\nExpect: 100-Continue\r\n\r\n";
-    move_until(peers, [&] { return peer.in == "HTTP/1.1 100 Continue\r\n\r\n"; });
+    const std::string message = request("deposit", "id-1", 5000, "hello");
+    peer.out = message.substr(0, message.size() - 9) + "\r\nExpect: 100-Continue\r\n\r\n";
+    exchange_until(peers, [&] { return peer.in == "HTTP/1.1 100 Continue\r\n\r\n"; });
     peer.out = "hello";
-    move_until(peers, [&] { return peer.in.find("200 OK") != std::string::npos; });
+    exchange_until(peers, [&] { return peer.in.find("200 OK") != std::string::npos; });
     EXPECT_EQ(a.requests.at(0).body(), "hello");
 }
 
-TEST_F(Stream, PipelinedRequestsAreAnsweredInTheirOrder) {
+TEST_F(Stream, AnswersPipelinedRequestsInOrder) {
     start_with_a();
     a.script = [](const auto& r) { return Reply{response("200 OK", std::string(r["Request-Id"]))}; };
     TestClient& c = client();
@@ -372,8 +377,8 @@
     for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(c.answers[i].body(), std::to_string(i + 1));
 }
 
-// Bodies that the connection's end delimits, where the head says so; interim answers; pieces.
-TEST_F(Stream, EveryFormOfAnAnswerIsServed) {
+// Covers bodies that end with the connection, interim responses and chunked bodies.
+TEST_F(Stream, ForwardsEveryFormOfResponse) {
     start_with_a();
     int number = 0;
     for (const Reply& reply :
@@ -388,22 +393,23 @@
     }
 }
 
-// Idle and half-sent connections make room for whole requests.
-TEST_F(Stream, ACrowdThatIdlesOrStopsHalfWayKeepsNobodyOut) {
+// Guards against clients that hold connections without a complete request and so keep other clients out:
+// their connections are evicted.
+TEST_F(Stream, IdleAndPartialRequestsDoNotExhaustConnections) {
     start({{"s-a", a.address()}}, "40");  // eight clients at a time
-    std::vector<TestClient*> crowd;
+    std::vector<TestClient*> other_clients;
     for (int i = 0; i < 60; ++i) {
-        crowd.push_back(&client());
-        if (i % 2) crowd.back()->send("GET /listen HTTP/1.1\r\nHost");
+        other_clients.push_back(&client());
+        if (i % 2) other_clients.back()->send("GET /listen HTTP/1.1\r\nHost");
         if (i % 10 != 9) continue;
         EXPECT_EQ(send_and_wait(request("listen", "id-" + std::to_string(i), 900)).result_int(), 200u);
     }
     EXPECT_EQ(a.requests.size(), 6u);
 }
 
-// An answer without a length that is reset has no end, be it small or passed on already: whoever reads it
-// must see that it is not whole.
-TEST_F(Stream, AResetIsNeverTheEndOfAnAnswerWithoutALength) {
+// Guards against taking a reset for the end of a response that has no length. The client must detect the
+// truncation, whether or not the response has already been forwarded in part.
+TEST_F(Stream, ResetDoesNotCompleteResponseWithoutLength) {
     start_raw();
     const std::string head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
     for (const bool begun : {false, true})
@@ -413,11 +419,12 @@
             std::string text = request("deposit", "id-" + version + std::to_string(begun));
             peers.emplace_back(io, sidecar->address()).out =
                 text.replace(text.find("HTTP/1.1"), version.size(), version);
-            move_until(peers, [&] { return !servers.empty() && !servers.front().in.empty(); });
+            exchange_until(peers, [&] { return !servers.empty() && !servers.front().in.empty(); });
             servers.front().out = head + "all there is";
             servers.front().turn();
             if (begun)
-                move_until(peers, [&] { return peers.front().in.find("all there is") != std::string::npos; });
+                exchange_until(peers,
+                               [&] { return peers.front().in.find("all there is") != std::string::npos; });
             servers.front().socket.set_option(asio::socket_base::linger(true, 0));
             servers.front().socket.close();
             until([&] {
@@ -434,18 +441,20 @@
             }
         }
     until([&] { return sidecar->metrics().in_flight == 0; });
-    EXPECT_EQ(sum("served"), 0);
+    EXPECT_EQ(count_requests("served"), 0);
 }
 
-// An answer that never ends goes on as long as its client takes it, and ends with that.
-TEST_F(Stream, AnAnswerThatNeverEndsEndsWithItsClient) {
+// An endless response is forwarded as long as its client reads it; the attempt ends when the client
+// disconnects.
+TEST_F(Stream, EndlessResponseEndsWhenClientDisconnects) {
     start_raw();
     std::list<RawPeer> peers;
     peers.emplace_back(io, sidecar->address()).out = request("listen", "id-1", 300);
-    move_until(peers, [&] { return !servers.empty() && !servers.front().in.empty(); });
+    exchange_until(peers, [&] { return !servers.empty() && !servers.front().in.empty(); });
     servers.front().out = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    const auto late = std::chrono::steady_clock::now() + std::chrono::milliseconds(600);  // twice its time
-    move_until(peers, [&] {
+    const auto late =
+        std::chrono::steady_clock::now() + std::chrono::milliseconds(600);  // twice the time-out
+    exchange_until(peers, [&] {
         if (servers.front().out.empty()) servers.front().out = "4\r\nmore\r\n";
         return std::chrono::steady_clock::now() > late;
     });
