--- a/src/node/action_executor.cpp
+++ b/src/node/action_executor.cpp
@@ -12,7 +12,7 @@
 }
 
 void ActionExecutor::carry_out(const SendToPeer& action) {
-    if (parts_.peers) parts_.peers->tell(action.to, action.bytes);
+    if (parts_.peers) parts_.peers->send(action.to, action.bytes);
 }
 
 void ActionExecutor::carry_out(const EndpointEjected& action) {
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -26,7 +26,7 @@
     receive();
 }
 
-void Peers::tell(std::optional<std::uint32_t> recipient, const std::vector<std::uint8_t>& bytes) {
+void Peers::send(std::optional<std::uint32_t> recipient, const std::vector<std::uint8_t>& bytes) {
     const net::Udp::endpoint* const address = receiver(recipient);
     if (bytes.size() > kLongest || !address)
         return net::log(spdlog::level::warn, "peer.not_sent", {{"bytes", bytes.size()}});
--- a/src/node/peers.hpp
+++ b/src/node/peers.hpp
@@ -33,7 +33,7 @@
 
     /// Sends a message. One that is too long, or has no receiver, is logged and not sent.
     /// @param recipient  index of the receiver among the peers; absent: all of them.
-    void tell(std::optional<std::uint32_t> recipient, const std::vector<std::uint8_t>& bytes);
+    void send(std::optional<std::uint32_t> recipient, const std::vector<std::uint8_t>& bytes);
     net::Udp::endpoint address() const { return socket_.local_endpoint(); }
 
 private:
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -498,10 +498,10 @@
     run_until(io, [&] { return !got.empty(); });
     EXPECT_EQ(got[0].first, 0u);
     EXPECT_EQ(got[0].second.size(), 256u);
-    two.tell(0, std::vector<std::uint8_t>(257));
-    two.tell(5, {1});
-    two.tell(std::nullopt, {1});
-    two.tell(0, {7, 8});
+    two.send(0, std::vector<std::uint8_t>(257));
+    two.send(5, {1});
+    two.send(std::nullopt, {1});
+    two.send(0, {7, 8});
     std::array<char, 300> buffer{};
     EXPECT_EQ(one.receive(asio::buffer(buffer)), 2u);  // the one before it was too long and never left
 }
