--- a/src/node/operator.cpp
+++ b/src/node/operator.cpp
@@ -20,9 +20,9 @@
 
 namespace {
 
-/// Until the head of a request has to be complete; then the connection is closed.
+/// A connection on which the head of the request is not complete by then is closed.
 constexpr Millis kHeadTimeout = 5000;
-/// How long the caller may take to close its side after the response.
+/// The time that the client has to close its side after the response.
 constexpr Millis kLingerTime = 300;
 constexpr Millis kAcceptPause = 20;
 constexpr std::uint32_t kHeadLimit = 4 * 1024;
@@ -33,10 +33,10 @@
 
 }  // namespace
 
-/// One connection: reads a request, answers it, and waits for the caller to close.
-class OperatorListener::Call : public std::enable_shared_from_this<Call> {
+/// A connection of a client: reads a request, answers it, and waits for the client to close its side.
+class OperatorListener::Connection : public std::enable_shared_from_this<Connection> {
 public:
-    Call(OperatorListener& owner, net::Tcp::socket socket)
+    Connection(OperatorListener& owner, net::Tcp::socket socket)
         : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {
         parser_.header_limit(kHeadLimit);
     }
@@ -48,7 +48,7 @@
                                     if (self->owner_) self->on_request(failed);
                                 });
     }
-    /// Whether the request has come, or can't come any more.
+    /// Whether the head of the request has been read, or reading it has failed.
     bool has_request() const { return has_request_; }
 
     void close() {
@@ -57,19 +57,20 @@
         error_code ignored;
         socket_.close(ignored);
         timer_.cancel();
-        owner->calls_.remove(shared_from_this());
+        owner->connections_.remove(shared_from_this());
     }
 
 private:
     void on_request(error_code failed) {
         has_request_ = true;
-        if (!failed) return answer(http::status::ok);
+        if (!failed) return respond(http::status::ok);
         if (!net::is_malformed(failed)) return close();
-        const bool large = failed == http::error::header_limit || failed == http::error::buffer_overflow;
-        answer(large ? http::status::request_header_fields_too_large : http::status::bad_request);
+        const bool is_too_large =
+            failed == http::error::header_limit || failed == http::error::buffer_overflow;
+        respond(is_too_large ? http::status::request_header_fields_too_large : http::status::bad_request);
     }
 
-    void answer(http::status status) {
+    void respond(http::status status) {
         response_.version(net::kHttpVersion);
         if (status == http::status::ok) status = handle_request();
         response_.result(status);
@@ -80,14 +81,14 @@
         http::async_write(socket_, response_, [self = shared_from_this()](error_code error, std::size_t) {
             if (!self->owner_) return;
             if (error) return self->close();
-            // Closing while bytes are unread could drop the response on its way.
+            // Closing a socket with unread bytes resets the connection, and the response could be lost.
             self->socket_.shutdown(net::Tcp::socket::shutdown_send, error);
             self->close_after(kLingerTime);
             self->discard();
         });
     }
 
-    /// Calls back for what the request asks for, and sets the body of the response.
+    /// Obtains what the request asks for and sets the body of the response.
     http::status handle_request() {
         const auto target = parser_.get().target();
         const auto path = target.substr(0, target.find('?'));
@@ -115,7 +116,8 @@
         });
     }
 
-    OperatorListener* owner_;  // null: closed
+    /// Null: the connection is closed.
+    OperatorListener* owner_;
     net::Tcp::socket socket_;
     asio::steady_timer timer_;
     boost::beast::flat_buffer buffer_{2 * kHeadLimit};
@@ -131,7 +133,7 @@
       acceptor_(io, listen, true),
       callbacks_(std::move(callbacks)),
       accept_pacer_(io, kAcceptPause) {
-    // Without it Asio would wait for the next connection where one has been aborted.
+    // Without this option Asio would skip an aborted connection and wait for the next one.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     acceptor_.non_blocking(true);
     acceptor_.listen(asio::socket_base::max_listen_connections);
@@ -139,9 +141,9 @@
 }
 
 OperatorListener::~OperatorListener() {
-    while (!calls_.empty()) {
-        const CallPtr call = calls_.front();
-        call->close();
+    while (!connections_.empty()) {
+        const ConnectionPtr connection = connections_.front();
+        connection->close();
     }
 }
 
@@ -151,7 +153,7 @@
     });
 }
 
-/// The next connection is accepted whatever this one leads to.
+/// Accepts the next connection also if handling this one fails.
 void OperatorListener::accept_waiting() {
     try {
         net::Tcp::socket socket(io_);
@@ -162,7 +164,7 @@
         else if (!net::is_transient(failed) && accept_pacer_.must_pause_after(failed))
             return accept_after_pause();
         accept();
-    } catch (...) {  // no memory, say
+    } catch (...) {  // such as std::bad_alloc
         accept_after_pause();
         throw;
     }
@@ -170,22 +172,24 @@
 
 void OperatorListener::on_accepted(net::Tcp::socket socket) {
     accept_pacer_.on_success();
-    make_room();
-    calls_.push_back(std::make_shared<Call>(*this, std::move(socket)));
-    const CallPtr call = calls_.back();
-    call->begin();
+    close_surplus_connection();
+    connections_.push_back(std::make_shared<Connection>(*this, std::move(socket)));
+    const ConnectionPtr connection = connections_.back();
+    connection->begin();
 }
 
 void OperatorListener::accept_after_pause() {
     accept_pacer_.pause([this] { accept(); });
 }
 
-/// At the limit, closes the oldest connection without a complete request; where there is none, the oldest.
-void OperatorListener::make_room() {
-    if (calls_.size() < kCallers) return;
+/// At the limit, closes the oldest connection whose request is incomplete, or the oldest of all if there is
+/// none.
+void OperatorListener::close_surplus_connection() {
+    if (connections_.size() < kMaxConnections) return;
     const auto waiting =
-        std::find_if(calls_.begin(), calls_.end(), [](const CallPtr& call) { return !call->has_request(); });
-    const CallPtr closing = waiting == calls_.end() ? calls_.front() : *waiting;
+        std::find_if(connections_.begin(), connections_.end(),
+                     [](const ConnectionPtr& connection) { return !connection->has_request(); });
+    const ConnectionPtr closing = waiting == connections_.end() ? connections_.front() : *waiting;
     closing->close();
 }
 
--- a/src/node/operator.hpp
+++ b/src/node/operator.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The HTTP address of the operators: readiness and metrics.
+/// The HTTP listener for operators, which serves readiness and metrics.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,46 +15,47 @@
 
 namespace mothring::node {
 
-/// Answers one HTTP request on each connection, at once, whatever the clients' traffic does.
+/// Answers one HTTP request per connection. It has its own connections, so operators get a response also
+/// while clients use up theirs.
 class OperatorListener {
 public:
-    /// Connections at one time, out of the sidecar's own reserve of descriptors.
-    static constexpr std::size_t kCallers = 8;
+    /// The limit of open connections. They use the sockets that are reserved for the sidecar itself.
+    static constexpr std::size_t kMaxConnections = 8;
 
-    /// Where the answers come from.
+    /// Provide the contents of the responses.
     struct Callbacks {
-        /// Whether the sidecar takes requests.
+        /// Returns whether the sidecar is ready for requests.
         std::function<bool()> ready;
-        /// The metrics, as JSON.
+        /// Returns the metrics as JSON.
         std::function<std::string()> metrics;
     };
 
-    /// Listens at once.
-    /// @throws boost::system::system_error where it can't listen.
+    /// Starts to listen.
+    /// @throws boost::system::system_error  it cannot listen on the address.
     OperatorListener(boost::asio::io_context& io, const net::Tcp::endpoint& listen, Callbacks callbacks);
     ~OperatorListener();
     OperatorListener(const OperatorListener&) = delete;
     OperatorListener& operator=(const OperatorListener&) = delete;
 
     net::Tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-    /// How many connections there are.
-    std::size_t callers() const { return calls_.size(); }
+    std::size_t connection_count() const { return connections_.size(); }
 
 private:
-    class Call;
-    using CallPtr = std::shared_ptr<Call>;
+    class Connection;
+    using ConnectionPtr = std::shared_ptr<Connection>;
 
     void accept();
     void accept_waiting();
     void on_accepted(net::Tcp::socket socket);
     void accept_after_pause();
-    void make_room();
+    void close_surplus_connection();
 
     boost::asio::io_context& io_;
     net::Tcp::acceptor acceptor_;
     Callbacks callbacks_;
     net::RetryPacer accept_pacer_;
-    std::list<CallPtr> calls_;  // the oldest first
+    /// Open connections, the oldest first.
+    std::list<ConnectionPtr> connections_;
 };
 
 }  // namespace mothring::node
