--- a/src/node/hot_restart_lock.hpp
+++ b/src/node/hot_restart_lock.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Tells whether another process of this sidecar runs, as in a hot restart. Each process locks a byte of one
-/// file with its own open file description; the kernel releases the lock when its holder ends, however it
-/// ends.
+/// Detects whether another process of this sidecar runs, as in a hot restart. Each process locks one byte of
+/// a common file through its own open file description. The kernel releases the lock when the process ends,
+/// also after a crash.
 #pragma once
 
 #include <fcntl.h>
@@ -12,15 +12,15 @@
 
 namespace mothring::node {
 
-/// What is known of another process of this sidecar.
+/// Whether another process of this sidecar runs.
 enum class OtherProcess {
     alone,   ///< No other process holds a lock.
-    shared,  ///< Another process holds one.
-    unknown  ///< This process has no lock that others see, or the locks can't be read.
+    shared,  ///< Another process holds a lock.
+    unknown  ///< This process holds no lock that other processes see, or the locks can't be read.
 };
 
-/// The system calls that a HotRestartLock makes: as the kernel's, -1 with errno on failure. Tests replace
-/// them by failing ones.
+/// The system calls that a HotRestartLock makes. As in the kernel's interface, they return -1 and set errno
+/// on failure. Tests replace them with failing ones.
 class LockCalls {
 public:
     LockCalls() = default;
@@ -33,16 +33,16 @@
     virtual int status(const char* path, struct stat& into);
     virtual int status(int file, struct stat& into);
 
-    /// The kernel's.
+    /// Returns the calls of the kernel.
     static LockCalls& system();
 };
 
-/// A lock that processes of one sidecar hold beside each other, and by which they see each other.
+/// A lock that all processes of one sidecar hold concurrently, and by which they detect each other.
 class HotRestartLock {
 public:
-    /// Touches no file yet: what can't be had is tried again at each check.
-    /// @param folder  where the file is.
-    /// @param name  tells this sidecar from others.
+    /// Accesses no file yet. Each check opens and locks the file if that has not succeeded before.
+    /// @param folder  the folder of the lock file.
+    /// @param name  identifies the sidecar; its processes use the same name.
     /// @param calls  must outlive this.
     HotRestartLock(const std::string& folder, const std::string& name,
                    LockCalls& calls = LockCalls::system());
@@ -50,21 +50,23 @@
     HotRestartLock(const HotRestartLock&) = delete;
     HotRestartLock& operator=(const HotRestartLock&) = delete;
 
-    /// Takes the lock where it is not held, or where the file at the path has been deleted or replaced since,
-    /// then reads the others' locks. Never waits and never throws for a failing call. For a few checks after
-    /// a failure it finds `unknown` in place of `alone`: the other process may be retrying as well.
+    /// Acquires the lock if it is not held, or if the file at the path has been deleted or replaced since,
+    /// and then reads the locks of other processes. Neither blocks nor throws if a system call fails. For a
+    /// few checks after a failure it returns `unknown` instead of `alone`, as another process may have failed
+    /// for the same reason and be retrying as well.
     OtherProcess check();
 
     const std::string& path() const { return path_; }
-    /// Why the last check that found `unknown` did.
+    /// Returns the reason why check() last returned `unknown`.
     std::string error() const;
 
-    /// The folder for the file, as std::filesystem::temp_directory_path() chooses it, whether it exists or
-    /// not.
+    /// Returns the folder for the lock file, chosen as std::filesystem::temp_directory_path() chooses it, but
+    /// without checking that it exists.
     static std::string temporary_folder();
 
 private:
-    /// An open file with a byte locked. While it is open, its inode can't be used for another file.
+    /// An open file in which this process has locked a byte. While it is open, the kernel does not reuse its
+    /// inode number for another file.
     struct LockedFile {
         int file = -1;
         dev_t device = 0;
@@ -80,18 +82,19 @@
     bool lock_file_at_path();
     bool count_settling(bool seen_by_others);
     bool reuse_if_locked(int file, const struct stat& status);
-    bool lock_a_byte(int file);
-    OtherProcess others_in(int file);
-    OtherProcess others_in_replaced();
-    bool fail(int error);
+    bool lock_free_byte(int file);
+    OtherProcess find_other_process(int file);
+    OtherProcess find_other_process_in_replaced();
+    bool record_error(int error);
 
     std::string path_;
     LockCalls& calls_;
     LockedFile current_;
-    /// Files that were deleted or replaced while held and in which another process still holds its lock. An
-    /// older version does not notice the replacement, and must go on seeing this process.
+    /// Lock files that were deleted or replaced while held, and in which another process still holds a lock.
+    /// They stay locked because older versions do not notice the replacement and must still detect this
+    /// process.
     std::vector<LockedFile> replaced_;
-    /// Checks until `alone` can be found after a failure.
+    /// Number of successful checks needed before `alone` may be returned after a failure.
     int settling_checks_ = 0;
     int error_ = 0;
 };
--- a/src/node/hot_restart_monitor.cpp
+++ b/src/node/hot_restart_monitor.cpp
@@ -22,7 +22,7 @@
     timer_.async_wait(guard_.while_alive([this] { start(); }));
 }
 
-// While it is not known whether there is another process, the limits count as if there were one.
+/// While it is unknown whether another process runs, this one is limited as if there were one.
 void HotRestartMonitor::check() {
     const OtherProcess before = other_process_;
     other_process_ = lock_.check();
--- a/src/node/hot_restart_monitor.hpp
+++ b/src/node/hot_restart_monitor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Watches whether a second process of this sidecar runs, as in a hot restart.
+/// Monitors whether another process of this sidecar runs, as in a hot restart.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,17 +12,17 @@
 
 namespace mothring::node {
 
-/// Checks the lock regularly and logs what it finds.
+/// Checks the hot-restart lock periodically, logs each change and reports it.
 class HotRestartMonitor {
 public:
-    /// @param may_overlap  another process runs, or may run.
+    /// @param may_overlap  whether another process runs or may run.
     using OnChange = std::function<void(bool may_overlap)>;
 
-    /// @param name  tells this sidecar from others on the machine.
+    /// @param name  identifies this sidecar among others on the machine.
     HotRestartMonitor(boost::asio::io_context& io, const std::string& name, OnChange on_change);
 
-    /// Checks now, and regularly from then on. Reports a change before it returns; at first there is no other
-    /// process.
+    /// Checks now and periodically from then on. The initial state is that no other process runs; if this
+    /// check finds one, it is reported before this function returns.
     void start();
 
 private:
--- a/tests/hot_restart_lock_test.cpp
+++ b/tests/hot_restart_lock_test.cpp
@@ -1,5 +1,6 @@
-// Whether two processes of one sidecar see each other, by the kernel's locks alone, and what is taken for
-// granted while they can't: nothing.
+/// @file
+/// Tests of the detection of another process of the same sidecar, and of its results while the lock file
+/// can't be used.
 #include "node/hot_restart_lock.hpp"
 
 #include <unistd.h>
@@ -17,9 +18,11 @@
 
 using enum OtherProcess;
 
-constexpr int kSettlingLooks = 4;  // after a failure, before `alone` is told
+/// Successful checks after a failure before `alone` is returned.
+constexpr int kSettlingChecks = 4;
 
-// The kernel's calls, of which those that are told to fail do so: each errno once, in the order given.
+/// Makes the calls of the kernel, but fails with the errors that are queued for a call, each once and in
+/// order.
 struct FailingCalls : LockCalls {
     std::deque<int> open_errors, set_errors, get_errors, path_errors, file_errors;
     static bool fails(std::deque<int>& errors) {
@@ -52,22 +55,22 @@
     HotRestart() { std::filesystem::create_directories(folder); }
     ~HotRestart() override { std::filesystem::remove_all(folder); }
 
-    // The first answer but `unknown`, and after how many of these.
-    static std::pair<int, OtherProcess> settled(HotRestartLock& lock) {
-        for (int looks = 0; looks < 20; ++looks)
-            if (const OtherProcess found = lock.check(); found != unknown) return {looks, found};
+    /// Checks until the result is not `unknown`. Returns the number of checks before and the result.
+    static std::pair<int, OtherProcess> check_until_known(HotRestartLock& lock) {
+        for (int checks = 0; checks < 20; ++checks)
+            if (const OtherProcess found = lock.check(); found != unknown) return {checks, found};
         return {20, unknown};
     }
 
-    // A process of an older version: it locks the first free byte of 16 when it starts, and looks at nothing
-    // else later.
+    /// Stands for a process of an older version, which locks the first free byte of 16 when it starts and
+    /// does not check the file at the path afterwards.
     struct OlderVersion {
         int file = -1;
         explicit OlderVersion(const std::string& path)
             : file(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600)) {
             for (off_t byte = 0; byte < 16; ++byte)
                 if (struct flock one = range(byte, 1); ::fcntl(file, F_OFD_SETLK, &one) == 0) return;
-            ADD_FAILURE() << "no byte to lock";
+            ADD_FAILURE() << "no byte of the file could be locked";
         }
         ~OlderVersion() { ::close(file); }
         OlderVersion(const OlderVersion&) = delete;
@@ -80,41 +83,41 @@
             range.l_len = length;
             return range;
         }
-        bool sees_another() const {
+        bool detects_another() const {
             struct flock all = range(0, 16);
             return ::fcntl(file, F_OFD_GETLK, &all) == 0 && all.l_type != F_UNLCK;
         }
     };
 };
 
-TEST_F(HotRestart, SeeEachOtherWhileBothLive) {
-    HotRestartLock one(folder, "n1"), stranger(folder, "n2");
+TEST_F(HotRestart, ProcessesOfOneSidecarDetectEachOtherWhileBothRun) {
+    HotRestartLock one(folder, "n1"), other_sidecar(folder, "n2");
     EXPECT_EQ(one.check(), alone);
     auto two = std::make_unique<HotRestartLock>(folder, "n1");
     EXPECT_EQ(two->check(), shared);
     EXPECT_EQ(one.check(), shared);
-    EXPECT_EQ(stranger.check(), alone);
+    EXPECT_EQ(other_sidecar.check(), alone);
     two.reset();
     EXPECT_EQ(one.check(), alone);
-    HotRestartLock nowhere(folder + "/none", "n1");
-    EXPECT_EQ(nowhere.check(), unknown);
+    HotRestartLock without_folder(folder + "/none", "n1");
+    EXPECT_EQ(without_folder.check(), unknown);
 }
 
-TEST_F(HotRestart, AnOlderVersionIsSeenAndSees) {
+TEST_F(HotRestart, OlderVersionAndThisOneDetectEachOther) {
     {
         const OlderVersion before(file);
         HotRestartLock lock(folder, "n1");
         EXPECT_EQ(lock.check(), shared);
-        EXPECT_TRUE(before.sees_another());
+        EXPECT_TRUE(before.detects_another());
     }
     HotRestartLock lock(folder, "n1");
     EXPECT_EQ(lock.check(), alone);
     const OlderVersion after(file);
     EXPECT_EQ(lock.check(), shared);
-    EXPECT_TRUE(after.sees_another());
+    EXPECT_TRUE(after.detects_another());
 }
 
-TEST_F(HotRestart, AFailureAtTheStartIsTriedAgainAtEachLook) {
+TEST_F(HotRestart, RetriesAFailedLockAtEachCheck) {
     for (const int error : {ENOSPC, EIO, EROFS, EACCES, EMFILE}) {
         calls.open_errors = {error, error};
         HotRestartLock late(folder, "n1", calls);
@@ -129,14 +132,14 @@
     for (const int error : {ENOLCK, EIO, EDEADLK, EINVAL}) {
         calls.set_errors = {error, error};
         HotRestartLock late(folder, "n1", calls);
-        EXPECT_EQ(settled(late), std::pair(2 + kSettlingLooks, alone)) << error;
+        EXPECT_EQ(check_until_known(late), std::pair(2 + kSettlingChecks, alone)) << error;
     }
     calls.file_errors = {EIO};
     HotRestartLock late(folder, "n1", calls);
-    EXPECT_EQ(settled(late), std::pair(1 + kSettlingLooks, alone));
+    EXPECT_EQ(check_until_known(late), std::pair(1 + kSettlingChecks, alone));
 }
 
-TEST_F(HotRestart, AFailedReadOfTheLocksIsNotTakenForNoOther) {
+TEST_F(HotRestart, ReportsUnknownIfReadingTheLocksFails) {
     HotRestartLock one(folder, "n1", calls), two(folder, "n1");
     two.check();
     EXPECT_EQ(one.check(), shared);
@@ -147,7 +150,7 @@
     }
 }
 
-TEST_F(HotRestart, AnInterruptedCallIsMadeAgainAtOnceAndNotForEver) {
+TEST_F(HotRestart, RetriesInterruptedCallsALimitedNumberOfTimes) {
     calls.open_errors = calls.set_errors = calls.get_errors = calls.path_errors = {EINTR, EINTR};
     HotRestartLock one(folder, "n1", calls);
     EXPECT_EQ(one.check(), alone);
@@ -156,45 +159,46 @@
     EXPECT_GE(calls.get_errors.size(), 90u);
 }
 
-// The path can't be looked at for once: what is held is not locked again, or it would see itself.
-TEST_F(HotRestart, AFailedLookAtThePathMakesNoSecondLock) {
+// A failed status call on the path could make the process lock a second byte and detect itself as another
+// process.
+TEST_F(HotRestart, DoesNotLockTwiceIfCheckingThePathFails) {
     HotRestartLock one(folder, "n1", calls);
     EXPECT_EQ(one.check(), alone);
     calls.path_errors = {EIO, EIO};
-    EXPECT_EQ(settled(one), std::pair(1 + kSettlingLooks, alone));
+    EXPECT_EQ(check_until_known(one), std::pair(1 + kSettlingChecks, alone));
 }
 
-TEST_F(HotRestart, AFolderThatAppearsLaterIsUsed) {
+TEST_F(HotRestart, UsesAFolderThatIsCreatedLater) {
     HotRestartLock one(folder + "/later", "n1"), two(folder + "/later", "n1");
     EXPECT_EQ(one.check(), unknown);
     EXPECT_EQ(two.check(), unknown);
     std::filesystem::create_directory(folder + "/later");
-    EXPECT_EQ(one.check(), unknown) << "the other has not looked yet";
+    EXPECT_EQ(one.check(), unknown) << "the other process has not checked again yet";
     EXPECT_EQ(two.check(), shared);
     EXPECT_EQ(one.check(), shared);
 }
 
-TEST_F(HotRestart, WhatLiesAtThePathIsNotReadAndNoObstacleForGood) {
+TEST_F(HotRestart, UsesAnExistingFileAndRecoversFromADirectoryAtThePath) {
     std::filesystem::create_directory(file);  // a directory: EISDIR
     HotRestartLock one(folder, "n1");
     EXPECT_EQ(one.check(), unknown);
     std::filesystem::remove(file);
     std::ofstream(file) << "left by somebody, half wri";
-    EXPECT_EQ(settled(one), std::pair(kSettlingLooks, alone));
+    EXPECT_EQ(check_until_known(one), std::pair(kSettlingChecks, alone));
     HotRestartLock two(folder, "n1");
     EXPECT_EQ(two.check(), shared);
     EXPECT_EQ(std::filesystem::file_size(file), 26u) << "nothing is written to it";
     std::filesystem::create_symlink(file, folder + "/whinledge-link.lives");
-    HotRestartLock link(folder, "link");  // as older versions read it
+    HotRestartLock link(folder, "link");  // older versions follow symbolic links as well
     EXPECT_EQ(link.check(), shared);
 }
 
-TEST_F(HotRestart, AFileDeletedOrReplacedWhileHeldIsLockedAnew) {
+TEST_F(HotRestart, LocksAgainAfterTheFileWasDeletedOrReplaced) {
     HotRestartLock one(folder, "n1");
     EXPECT_EQ(one.check(), alone);
     std::filesystem::remove(file);
     HotRestartLock two(folder, "n1");
-    EXPECT_EQ(two.check(), alone) << "until the first has looked";
+    EXPECT_EQ(two.check(), alone) << "the first process has not checked again yet";
     EXPECT_EQ(one.check(), shared);
     EXPECT_EQ(two.check(), shared);
     std::ofstream(folder + "/other") << "";
@@ -205,24 +209,25 @@
     EXPECT_EQ(three.check(), shared);
 }
 
-// An older version does not notice that its file is gone: it must see us there, and we it.
-TEST_F(HotRestart, AnOlderVersionIsStillSeenInTheFileThatWasDeleted) {
+// An older version does not notice that its lock file is gone, so both processes must still detect each other
+// in it.
+TEST_F(HotRestart, DetectsAnOlderVersionInADeletedFile) {
     HotRestartLock lock(folder, "n1");
     EXPECT_EQ(lock.check(), alone);
     auto older = std::make_unique<OlderVersion>(file);
     std::filesystem::rename(file, folder + "/away");
-    for (int look = 0; look < 3; ++look) {
+    for (int check = 0; check < 3; ++check) {
         EXPECT_EQ(lock.check(), shared);
-        EXPECT_TRUE(older->sees_another());
+        EXPECT_TRUE(older->detects_another());
     }
-    std::filesystem::rename(folder + "/away", file);  // it comes back
+    std::filesystem::rename(folder + "/away", file);  // the file is restored
     EXPECT_EQ(lock.check(), shared);
-    EXPECT_TRUE(older->sees_another());
+    EXPECT_TRUE(older->detects_another());
     older.reset();
     EXPECT_EQ(lock.check(), alone);
 }
 
-TEST_F(HotRestart, AFileReplacedOverAndOverCostsABoundedNumberOfDescriptors) {
+TEST_F(HotRestart, LimitsDescriptorsIfTheFileIsReplacedRepeatedly) {
     const auto descriptors = [] {
         return std::distance(std::filesystem::directory_iterator("/proc/self/fd"), {});
     };
@@ -230,20 +235,21 @@
     lock.check();
     std::list<OlderVersion> older;
     const auto before = descriptors();
-    for (int times = 0; times < 12; ++times) {
+    for (int replaced = 0; replaced < 12; ++replaced) {
         older.emplace_back(file);
         std::filesystem::remove(file);
         EXPECT_EQ(lock.check(), shared);
     }
     EXPECT_LE(descriptors() - before, 12 + 4);
     older.clear();
-    EXPECT_EQ(settled(lock).second, alone);
+    EXPECT_EQ(check_until_known(lock).second, alone);
     EXPECT_EQ(lock.check(), alone);
     EXPECT_EQ(descriptors(), before);
 }
 
-// Beside another process everything that is limited is halved, and no longer once it is gone.
-TEST_F(NetRig, BesideAnotherProcessItTakesHalf) {
+// Two processes that both use the full limits would together exceed them. The limits are restored once the
+// other process has ended.
+TEST_F(NetRig, HalvesLimitsWhileAnotherProcessRuns) {
     net::Tcp::endpoint listen = net::Tcp::acceptor(io, any_port).local_endpoint();
     config::Config config =
         config::read_config(config_json(agent.address(), list_json(41, true, {{"s-a", a.address()}}), "40"));
@@ -258,7 +264,7 @@
     until([&] {
         return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return !c.answers.empty(); });
     });
-    EXPECT_LE(ended(), 1);  // one slot is kept free
+    EXPECT_LE(ended(), 1);  // the listener keeps one slot free
     std::optional<Sidecar> other(std::in_place, io, config);
     EXPECT_TRUE(other->limits_halved());
     until([&] { return sidecar->limits_halved() && ended() >= 4; });
