--- a/src/node/graceful_shutdown.hpp
+++ b/src/node/graceful_shutdown.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The graceful shutdown: the requests in flight are finished, within a time.
+/// The graceful shutdown of the sidecar.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,37 +13,39 @@
 
 namespace mothring::node {
 
+/// Lets the requests in flight finish within a limited time, and reports the end.
 class GracefulShutdown {
 public:
     /// @param clock, in_flight  must outlive this.
-    /// @param longest_deadline  of a request of any class.
+    /// @param longest_deadline  the longest deadline of any request class.
     GracefulShutdown(boost::asio::io_context& io, const net::Clock& clock, Millis longest_deadline,
                      const InFlightRequests& in_flight);
 
-    /// From begin() until finish().
+    /// Returns true from begin() until finish().
     bool in_progress() const { return on_finished_ != nullptr; }
 
     void begin(std::function<void()> on_finished) { on_finished_ = std::move(on_finished); }
 
-    /// Lets the listener finish its requests, and ends what waits for nothing once the time is over.
+    /// Lets the listener finish its requests, and closes the connections without a request shortly before the
+    /// time is over.
     /// @param listener  must outlive this.
     void drain(DownstreamListener& listener);
 
-    /// Reports the end, once.
+    /// Reports the end. Further calls have no effect.
     void finish();
 
-    /// The part of a request's time that the shutdown leaves it.
+    /// Returns the given time that a request has left, shortened to the end of the shutdown.
     Millis limit(Millis time_left) const;
 
 private:
-    void end_waiting_after(Millis delay, Millis remaining);
+    void close_waiting_after(Millis delay, Millis remaining);
 
     const net::Clock& clock_;
     Millis longest_deadline_;
     const InFlightRequests& in_flight_;
     DownstreamListener* listener_ = nullptr;
     std::function<void()> on_finished_;
-    /// When the last response has to be given; 0: no shutdown.
+    /// When the last response has to be sent; 0: no shutdown is in progress.
     Millis ends_at_ = 0;
     boost::asio::steady_timer timer_;
     LifetimeGuard guard_;
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -1,4 +1,6 @@
-// A drain: every request that was read has its answer, within the time that a planned restart leaves.
+/// @file
+/// Tests of the graceful shutdown: every request that was read gets a response within the time that a planned
+/// restart allows.
 #include "held_server.hpp"
 #include "program_rig.hpp"
 
@@ -7,19 +9,20 @@
 
 using Steady = std::chrono::steady_clock;
 
-Millis since(Steady::time_point began) { return net::millis(Steady::now() - began); }
-void hold_up_until(Steady::time_point end) {
+Millis elapsed_since(Steady::time_point began) { return net::millis(Steady::now() - began); }
+void busy_wait_until(Steady::time_point end) {
     while (Steady::now() < end) {
     }
 }
 
-// The shortest deadlines, and what a restart leaves at least: SIGKILL comes that long after SIGTERM.
-constexpr int kLongest = 200;
-constexpr Millis kKill = kLongest + 700;
+/// The longest deadline (ms) of any request class. It is short, as the time until SIGKILL grows with it.
+constexpr int kLongestDeadline = 200;
+/// The least time (ms) from SIGTERM to SIGKILL in a planned restart.
+constexpr Millis kKillAfter = kLongestDeadline + 700;
 
 std::string short_deadlines(const std::string& config) {
     return replace_first(config, ",\"credit\":3.0",
-                         ",\"give-up-ms\":" + std::to_string(kLongest) + ".0,\"credit\":3.0");
+                         ",\"give-up-ms\":" + std::to_string(kLongestDeadline) + ".0,\"credit\":3.0");
 }
 
 struct Drain : NetRig {
@@ -32,14 +35,15 @@
     void drain() {
         sidecar->drain([&] { done = true; });
     }
-    // Until the sidecar has read all that has come by now.
-    void pass() {
+    /// Waits until the sidecar has read everything that has been sent so far.
+    void wait_until_read() {
         for (int i = 0; i < 2; ++i) send_and_wait("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
     }
 };
 
-// Many at once on one connection: those that were read with the first are owed their answers too.
-TEST_F(Drain, EveryRequestThatWasReadOnOneConnectionIsAnswered) {
+// A client sends several requests at once on one connection. The sidecar reads them together with the first,
+// so each of them needs a response.
+TEST_F(Drain, AnswersAllPipelinedRequestsThatWereRead) {
     a.script = silence;
     start_with_a();
     std::string many;
@@ -59,10 +63,11 @@
     EXPECT_EQ(a.requests.size(), 5u);
 }
 
-// Of the next one a part was read: the connection goes on for its rest, which may never come.
-TEST_F(Drain, ARequestReadInPartBehindAnotherIsAnswered) {
-    const std::string next = request("deposit", "id-2", kLongest, "a body");
-    for (const bool comes : {true, false}) {
+// Part of the next request was read together with the first. The connection stays open for the rest, which
+// may never arrive.
+TEST_F(Drain, AnswersAPipelinedRequestThatWasReadPartly) {
+    const std::string next = request("deposit", "id-2", kLongestDeadline, "a body");
+    for (const bool is_completed : {true, false}) {
         sidecar.reset();
         a.requests.clear(), a.connections.clear();
         a.script = silence;
@@ -76,20 +81,21 @@
         a.script = serve;
         a.send(0, response("200 OK", "served"));
         until([&] { return c.answers.size() == 1; });
-        if (comes) c.send(next.substr(40));
+        if (is_completed) c.send(next.substr(40));
         until([&] { return c.answers.size() == 2 || c.ended; });
-        ASSERT_EQ(c.answers.size(), 2u) << comes;
-        EXPECT_LE(since(began), kKill);
-        EXPECT_EQ(c.answers[1].result_int(), comes ? 200u : 503u);
+        ASSERT_EQ(c.answers.size(), 2u) << is_completed;
+        EXPECT_LE(elapsed_since(began), kKillAfter);
+        EXPECT_EQ(c.answers[1].result_int(), is_completed ? 200u : 503u);
         until([&] { return c.ended && done; });
-        EXPECT_EQ(a.requests.size(), comes ? 2u : 1u);
+        EXPECT_EQ(a.requests.size(), is_completed ? 2u : 1u);
     }
 }
 
-// Whoever goes on to send many at once, without a pause, is ended with an answer to each that was read.
-TEST_F(Drain, AClientThatNeverStopsSendingEndsInTimeWithAllItsAnswers) {
-    // The last answer says close, unless the last call falls between its head and its last byte: not each
-    // time.
+// A client that sends without a pause could keep its connection open for ever. It is closed in time, after
+// a response to each request that was read.
+TEST_F(Drain, ClientThatKeepsSendingIsClosedInTimeWithAllResponses) {
+    // The last response carries "Connection: close", unless the connection is set to close between the head
+    // and the last byte of that response, which does not happen in every round.
     constexpr int kRounds = 3;
     int said_close = 0;
     for (int round = 0; round < kRounds; ++round) {
@@ -101,7 +107,8 @@
         std::size_t sent = 0;
         const auto send_more = [&] {
             std::string more;
-            for (int i = 0; i < 20; ++i) more += request("listen", "id-" + std::to_string(sent++), kLongest);
+            for (int i = 0; i < 20; ++i)
+                more += request("listen", "id-" + std::to_string(sent++), kLongestDeadline);
             c.send(more);
         };
         send_more();
@@ -112,10 +119,10 @@
             if (c.answers.size() + 10 > sent && !c.ended) send_more();
             return c.ended;
         });
-        EXPECT_LE(since(began), kKill);
+        EXPECT_LE(elapsed_since(began), kKillAfter);
         ASSERT_FALSE(c.answers.empty());
         said_close += !c.answers.back().keep_alive();
-        // The last answer is to the last that was forwarded, and nothing was forwarded after it.
+        // The last response belongs to the last forwarded request; no request was forwarded after it.
         std::size_t served = 0;
         std::map<unsigned, int> statuses;
         for (const auto& answer : c.answers) {
@@ -125,14 +132,14 @@
         until([&] { return done; });
         EXPECT_EQ(a.requests.size(), served) << testing::PrintToString(statuses);
     }
-    EXPECT_GT(said_close, 0) << "it was read from after the last call";
+    EXPECT_GT(said_close, 0) << "requests were read after the connection was set to close";
 }
 
-// The process is held up for as long as it may be, at any time near the end. A request may state a longer
-// time than the deployment's longest deadline.
-TEST_F(Drain, AHoldUpNearItsEndLeavesNothingUnanswered) {
+// The process stalls for the longest time allowed, at several moments near the end. The request's own
+// time-out is longer than the longest deadline of the deployment.
+TEST_F(Drain, StallNearTheEndLeavesNoRequestUnanswered) {
     a.script = silence;
-    for (const int held_from : {700, 750, 790}) {
+    for (const int stall_at : {700, 750, 790}) {
         sidecar.reset();
         a.requests.clear();
         start_short({{"s-a", a.address()}});
@@ -141,18 +148,18 @@
         drain();
         TestClient& c = client();
         c.send(request("listen", "id-1", 5000));
-        const auto hold_up = began + std::chrono::milliseconds(held_from);
-        until([&] { return c.ended || Steady::now() >= hold_up; });
-        if (!c.ended) hold_up_until(hold_up + std::chrono::milliseconds(150));
+        const auto stall_begin = began + std::chrono::milliseconds(stall_at);
+        until([&] { return c.ended || Steady::now() >= stall_begin; });
+        if (!c.ended) busy_wait_until(stall_begin + std::chrono::milliseconds(150));
         until([&] { return c.ended; });
         EXPECT_EQ(c.answers.size(), 1u);
-        EXPECT_LE(since(began), kKill) << held_from;
+        EXPECT_LE(elapsed_since(began), kKillAfter) << stall_at;
         until([&] { return done; });
     }
 }
 
-// Connections to servers that come up only after the end.
-TEST_F(Drain, WhatWaitsForAConnectionIsAnsweredInTime) {
+// The connections to the server are established only after the end of the shutdown.
+TEST_F(Drain, AnswersRequestsThatWaitForAServerConnectionInTime) {
     HeldServer held(io);
     start_short({{"s-held", held.address()}});
     const auto began = Steady::now();
@@ -161,7 +168,7 @@
     c.send(request("listen", "id-1", 5000));
     upload.send(request("deposit", "id-2", 5000, std::string(net::BodyBuffer::kMaxCapacity + 2000, 'x')));
     until([&] { return c.ended && upload.ended; });
-    EXPECT_LE(since(began), kKill);
+    EXPECT_LE(elapsed_since(began), kKillAfter);
     EXPECT_EQ(c.answers.size(), 1u);
     EXPECT_EQ(upload.answers.size(), 1u);
     held.release();
@@ -169,32 +176,33 @@
     EXPECT_EQ(held.received, "");
 }
 
-// The rest of a first request comes in the very turn in which its time is over.
-TEST_F(Drain, ARequestWholeAsItsTimeRunsOutIsAnswered) {
+// The rest of a first request arrives in the same turn of the event loop in which its time runs
+// out.
+TEST_F(Drain, AnswersARequestCompletedAsItsTimeRunsOut) {
     start_with_a();
-    const std::string whole = request("listen", "id-1");
+    const std::string complete_request = request("listen", "id-1");
     TestClient& c = client();
     asio::steady_timer rest(io, std::chrono::milliseconds(2200));
-    pass();
+    wait_until_read();
     bool sent = false;
     rest.async_wait([&](error_code) {
-        c.send(whole.substr(40));
+        c.send(complete_request.substr(40));
         sent = true;
     });
-    c.send(whole.substr(0, 40));
+    c.send(complete_request.substr(0, 40));
     const auto both_due = Steady::now() + std::chrono::milliseconds(2500);
     until([&] { return Steady::now() > both_due - std::chrono::milliseconds(400); });
-    hold_up_until(both_due);
+    busy_wait_until(both_due);
     until([&] { return sent && (c.ended || c.answers.size() == 1); });
     ASSERT_EQ(c.answers.size(), 1u);
     EXPECT_EQ(c.answers[0].result_int(), 200u);
 }
 
-// ---- The program itself, ended as a planned restart does ----
+// ---- The program, ended as in a planned restart ----
 
-struct Restart : Program {
+struct PlannedRestart : Program {
     asio::io_context io;
-    // Hangs on whatever may not be repeated.
+    /// Answers GET requests, and never answers requests that may not be repeated.
     ScriptedServer server{io, [](const auto& r) {
                               return r.method() == http::verb::get ? Reply{response("200 OK", "served")}
                                                                    : Reply{};
@@ -203,7 +211,7 @@
     net::Tcp::endpoint listen = net::Tcp::acceptor(io, any_port).local_endpoint();
     pid_t child = 0;
 
-    ~Restart() override {
+    ~PlannedRestart() override {
         if (child > 0) ::kill(child, SIGKILL), ::waitpid(child, nullptr, 0);
     }
     void begin() {
@@ -215,30 +223,30 @@
                 TestClient first(io, listen);
                 return true;
             } catch (const boost::system::system_error&) {
-                return false;  // not up yet
+                return false;  // not listening yet
             }
         });
     }
 
-    // Clients with one request out each, on connections that they keep; new ones as long as they may come.
-    struct Asking {
+    /// A client with one request in flight on a kept-alive connection.
+    struct ActiveClient {
         std::unique_ptr<TestClient> client;
         std::string id;
     };
-    std::vector<Asking> asking;
+    std::vector<ActiveClient> active_clients;
     std::size_t sent = 0, answered = 0;
     std::vector<std::string> unanswered;
-    void send(Asking& one) {
+    void send(ActiveClient& one) {
         one.id = "id-" + std::to_string(sent++);
         one.client->answers.clear();
-        one.client->send(request(sent % 2 == 0 ? "deposit" : "listen", one.id, kLongest, ""));
+        one.client->send(request(sent % 2 == 0 ? "deposit" : "listen", one.id, kLongestDeadline, ""));
     }
-    void open() {
-        asking.push_back({std::make_unique<TestClient>(io, listen), ""});
-        send(asking.back());
+    void connect() {
+        active_clients.push_back({std::make_unique<TestClient>(io, listen), ""});
+        send(active_clients.back());
     }
-    void turn(bool may_open) {
-        for (auto one = asking.begin(); one != asking.end();) {
+    void handle_responses(bool may_connect) {
+        for (auto one = active_clients.begin(); one != active_clients.end();) {
             TestClient& c = *one->client;
             if (c.answers.empty() && !c.ended) {
                 ++one;
@@ -249,10 +257,10 @@
             if (!c.ended && c.answers.front().keep_alive()) {
                 send(*one++);
             } else {
-                one = asking.erase(one);
+                one = active_clients.erase(one);
             }
         }
-        while (may_open && asking.size() < 8) open();
+        while (may_connect && active_clients.size() < 8) connect();
     }
     bool was_read(const std::string& id) const {
         return std::any_of(server.requests.begin(), server.requests.end(),
@@ -260,24 +268,26 @@
     }
 };
 
-// What was sent until SIGKILL has its answer, or its connection was closed with it unread.
-TEST_F(Restart, WithShortDeadlinesNothingThatWasReadGoesUnanswered) {
+// Every request sent before SIGKILL gets a response, or its connection was closed before the request was
+// read.
+TEST_F(PlannedRestart, AnswersAllRequestsThatWereReadWithShortDeadlines) {
     begin();
-    run_until(io, [&] { return turn(true), answered >= 100; });
+    run_until(io, [&] { return handle_responses(true), answered >= 100; });
     const auto began = Steady::now();
     ::kill(child, SIGTERM);
-    const auto kill_at = began + std::chrono::milliseconds(static_cast<int>(kKill));
-    const auto opens_until = began + std::chrono::milliseconds(400);
-    run_until(io, [&] { return turn(Steady::now() < opens_until), Steady::now() >= kill_at; });
+    const auto kill_at = began + std::chrono::milliseconds(static_cast<int>(kKillAfter));
+    const auto connects_until = began + std::chrono::milliseconds(400);
+    run_until(io, [&] { return handle_responses(Steady::now() < connects_until), Steady::now() >= kill_at; });
     ::kill(child, SIGKILL);
     ::waitpid(std::exchange(child, 0), nullptr, 0);
-    EXPECT_EQ(asking.size(), 0u) << "of " << sent;
+    EXPECT_EQ(active_clients.size(), 0u) << "of " << sent;
     EXPECT_EQ(answered + unanswered.size(), sent);
     for (const std::string& id : unanswered) EXPECT_FALSE(was_read(id)) << id;
 }
 
-// An answer whose length its head can't tell, half passed on: the end of the process is not its end.
-TEST_F(Restart, AnAnswerWithoutALengthThatIsCutOffIsSeenToBeBroken) {
+// A response without a known length is passed on in part when the process is killed. The client must not take
+// the end of the connection for the end of the response.
+TEST_F(PlannedRestart, ResetsTheConnectionOfATruncatedResponseWithoutLength) {
     server.script = [](const auto&) {
         return Reply{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"};
     };
