--- a/src/node/event_loop.cpp
+++ b/src/node/event_loop.cpp
@@ -16,19 +16,19 @@
       timers_(io, clock, [this](const TimerQueue::Entry& entry) { on_due(entry); }) {}
 
 void EventLoop::handle(Event event) {
-    waiting_.push_back(std::move(event));
+    pending_events_.push_back(std::move(event));
     if (state_ == State::handling) return;
     state_ = State::handling;
-    while (!waiting_.empty()) {
-        const Event next = std::move(waiting_.front());
-        waiting_.pop_front();
+    while (!pending_events_.empty()) {
+        const Event next = std::move(pending_events_.front());
+        pending_events_.pop_front();
         handle_one(next);
     }
     state_ = State::idle;
     timers_.arm();
 }
 
-// A failure, such as a lack of memory, costs this event and no other.
+/// A failure, such as a lack of memory, affects only this event.
 void EventLoop::handle_one(const Event& event) {
     actions_.clear();
     try {
--- a/src/node/event_loop.hpp
+++ b/src/node/event_loop.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Hands events to the Balancer and carries out the actions that it answers with.
+/// The loop that passes events to the Balancer and executes the Balancer's actions.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,27 +13,28 @@
 
 namespace mothring::node {
 
-/// Owns the Balancer and its timers. An event that happens while actions are carried out waits until they all
-/// are.
+/// Owns the Balancer and its timers. An event that occurs while the actions of another are executed is queued
+/// until all of them are done.
 class EventLoop {
 public:
     struct Callbacks {
-        /// Carries out an action.
+        /// Executes an action.
         std::function<void(const Action& action)> execute;
-        /// The time of an attempt has ended; it may have ended itself before.
+        /// Reports that the deadline of an attempt has passed. The attempt may have ended before.
         std::function<void(const AttemptDeadline& deadline)> on_attempt_deadline;
-        /// The handling of an event has thrown, and with it some of its actions may be lost.
+        /// Reports that the handling of an event has thrown. Some actions of the event may not have been
+        /// executed.
         std::function<void()> on_failure;
     };
 
     /// @param clock  must outlive this.
     EventLoop(boost::asio::io_context& io, const net::Clock& clock, Balancer balancer, Callbacks callbacks);
 
-    /// Handles an event, and those that follow from it, before it returns; called while an event is being
-    /// handled, it only adds this one to those that wait.
+    /// Handles an event and those that result from it before it returns. If called while another event is
+    /// being handled, it only queues this one.
     void handle(Event event);
 
-    /// Reports the entry once it is due.
+    /// Schedules an entry, which is handled once it is due.
     void schedule(Millis at, const TimerQueue::Entry& entry);
 
     Balancer::Gauges gauges() const { return balancer_.gauges(); }
@@ -47,7 +48,7 @@
     const net::Clock& clock_;
     Balancer balancer_;
     Callbacks callbacks_;
-    std::deque<Event> waiting_;
+    std::deque<Event> pending_events_;
     State state_ = State::idle;
     std::vector<Action> actions_;
     TimerQueue timers_;
--- a/src/node/metrics.hpp
+++ b/src/node/metrics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the sidecar counts for its operators, and the JSON in which they read it.
+/// The metrics of the sidecar and their JSON format.
 #pragma once
 
 #include <cstddef>
@@ -16,15 +16,16 @@
 /// How a client's request ended.
 enum class RequestOutcome {
     served,
-    rejected,  ///< For want of capacity, by the sidecar or by a server.
+    rejected,  ///< For lack of capacity, by the sidecar or by a server.
     failed
 };
 
-/// How a request ended whose client got a response of that HTTP status.
+/// Returns the outcome of a request whose client received a response with that HTTP status.
 RequestOutcome outcome_of_status(unsigned status);
 
+/// The counters and the state that operators can read.
 struct Metrics {
-    /// The requests of a class that have ended.
+    /// Counters of the ended requests of a request class.
     struct Class {
         std::string name;
         std::uint64_t served = 0;
@@ -35,25 +36,25 @@
     explicit Metrics(const std::vector<std::string>& class_names);
 
     /// Counts a request that has ended.
-    /// @throws std::out_of_range  there is no such class.
+    /// @throws std::out_of_range  the class does not exist.
     void count(std::size_t class_index, RequestOutcome outcome);
 
     std::vector<Class> classes;
 
-    // The rest is filled in when the metrics are read.
+    // The following fields are filled in when the metrics are read.
 
-    /// Attempts whose request has been written completely.
+    /// Number of attempts whose request has been written completely.
     std::uint64_t attempts = 0;
     std::size_t in_flight = 0;
     std::size_t servers_listed = 0;
-    /// Listed servers that are sent nothing.
+    /// Number of listed servers that are sent no requests.
     std::size_t servers_unavailable = 0;
     Discovery::State list;
-    /// Absent: the membership is off.
+    /// Absent: the membership is disabled.
     std::optional<cluster::Figures> cluster;
 };
 
-/// The metrics as JSON. Its names are an interface to operators.
+/// Formats the metrics as JSON. The names in it are an interface to operators.
 std::string render(const Metrics& metrics);
 
 }  // namespace mothring::node
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -16,26 +16,27 @@
 }  // namespace
 
 Peers::Peers(boost::asio::io_context& io, const net::Udp::endpoint& listen,
-             std::vector<net::Udp::endpoint> peers, std::optional<net::Udp::endpoint> all, Received received)
+             std::vector<net::Udp::endpoint> peers, std::optional<net::Udp::endpoint> all,
+             OnMessage on_message)
     : socket_(io, listen),
       receive_pacer_(io, kReceivePause),
       peers_(std::move(peers)),
       all_(std::move(all)),
-      received_(std::move(received)) {
+      on_message_(std::move(on_message)) {
     socket_.non_blocking(true);
     receive();
 }
 
 void Peers::send(std::optional<std::uint32_t> recipient, const std::vector<std::uint8_t>& bytes) {
-    const net::Udp::endpoint* const address = receiver(recipient);
-    if (bytes.size() > kLongest || !address)
+    const net::Udp::endpoint* const address = address_of(recipient);
+    if (bytes.size() > kMaxMessageSize || !address)
         return net::log(spdlog::level::warn, "peer.not_sent", {{"bytes", bytes.size()}});
-    error_code ignored;  // any datagram may be lost
+    error_code ignored;  // a datagram may be lost anyway
     socket_.send_to(boost::asio::buffer(bytes), *address, 0, ignored);
 }
 
-/// Null: there is none.
-const net::Udp::endpoint* Peers::receiver(std::optional<std::uint32_t> recipient) const {
+/// Returns null if there is no such recipient.
+const net::Udp::endpoint* Peers::address_of(std::optional<std::uint32_t> recipient) const {
     if (!recipient) return all_ ? &*all_ : nullptr;
     return *recipient < peers_.size() ? &peers_[*recipient] : nullptr;
 }
@@ -50,26 +51,26 @@
                                });
 }
 
-/// The next datagram is received whatever this one leads to.
+/// Receives the next datagram also if handling this one fails.
 void Peers::on_datagram(std::size_t size) {
     try {
         dispatch(size);
         receive();
-    } catch (...) {  // no memory, say
+    } catch (...) {  // such as std::bad_alloc
         receive_after_pause();
         throw;
     }
 }
 
-/// Reports the datagram in the buffer, where it is a message from a peer.
+/// Reports the datagram in the buffer if it is a message from a peer.
 void Peers::dispatch(std::size_t size) {
     const auto from = std::find(peers_.begin(), peers_.end(), sender_);
-    if (size > kLongest || from == peers_.end()) {
+    if (size > kMaxMessageSize || from == peers_.end()) {
         return stray_log_.log(spdlog::level::warn, "peer.stray_datagram",
                               {{"bytes", size}, {"from", sender_.address().to_string()}});
     }
     const auto peer = static_cast<std::uint32_t>(from - peers_.begin());
-    received_(peer, {buffer_.begin(), buffer_.begin() + size});
+    on_message_(peer, {buffer_.begin(), buffer_.begin() + size});
 }
 
 void Peers::receive_after(error_code failed) {
--- a/src/node/resource_limits.cpp
+++ b/src/node/resource_limits.cpp
@@ -6,13 +6,16 @@
 
 namespace {
 
-constexpr std::size_t kProcesses = 2;  // of one sidecar during a hot restart
-// For files, discovery, peers and the listeners.
+/// Processes of one sidecar during a hot restart.
+constexpr std::size_t kProcesses = 2;
+/// Sockets kept for files, discovery, peers and the listeners.
 constexpr std::size_t kReservedSockets = 24;
-constexpr std::size_t kMinConnections = 8;  // of clients and to servers together
+/// Connections that are always allowed, from clients and to servers together.
+constexpr std::size_t kMinConnections = 8;
 constexpr std::size_t kSides = 2;
 constexpr std::size_t kBytesPerMegabyte = 1024UL * 1024;
-constexpr std::size_t kBufferDivisor = 4;  // of the memory allowed, the part for bodies
+/// Bodies may use the allowed memory divided by this.
+constexpr std::size_t kBufferDivisor = 4;
 
 }  // namespace
 
--- a/src/node/resource_limits.hpp
+++ b/src/node/resource_limits.hpp
@@ -1,12 +1,13 @@
 /// @file
-/// How many sockets and how much memory this process may use.
+/// The limits of sockets and memory for this process.
 #pragma once
 
 #include <cstddef>
 
 namespace mothring::node {
 
-/// The limits of a sidecar. Two processes of one sidecar, as in a hot restart, use half of them each.
+/// The resource limits of a sidecar. During a hot restart two processes of one sidecar use half of the limits
+/// each.
 class ResourceLimits {
 public:
     ResourceLimits(std::size_t sockets, std::size_t memory_mb) : sockets_(sockets), memory_mb_(memory_mb) {}
@@ -14,9 +15,10 @@
     void set_halved(bool halved) { halved_ = halved; }
     bool halved() const { return halved_; }
 
-    /// Connections of clients, and as many to servers: a request may need one of each.
+    /// Returns the maximum number of connections from clients, which is also that of connections to servers:
+    /// a request may need one of each.
     std::size_t connections_per_side() const;
-    /// What bodies in passing may fill, in bytes.
+    /// Returns the maximum size in bytes of all buffered bodies.
     std::size_t buffer_bytes() const;
 
 private:
--- a/src/node/timer_queue.cpp
+++ b/src/node/timer_queue.cpp
@@ -7,7 +7,8 @@
 TimerQueue::TimerQueue(boost::asio::io_context& io, const net::Clock& clock, OnDue on_due)
     : clock_(clock), on_due_(std::move(on_due)), timer_(io) {}
 
-// The top of a std::priority_queue is its greatest element: what is due first.
+/// The entry that is due first is the greatest element, as the top of a std::priority_queue is its greatest
+/// one.
 bool TimerQueue::Scheduled::operator<(const Scheduled& other) const {
     if (at != other.at) return at > other.at;
     if (entry.index() != other.entry.index()) return entry.index() > other.entry.index();
--- a/src/node/timer_queue.hpp
+++ b/src/node/timer_queue.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The deadlines of attempts and the timers of the Balancer, in the order in which they are due.
+/// The queue of attempt deadlines and Balancer timers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,13 +16,14 @@
 
 namespace mothring::node {
 
-/// The time of an attempt ends.
+/// The deadline of an attempt.
 struct AttemptDeadline {
     RequestId request = 0;
     std::uint32_t attempt = 0;
 };
 
-/// Reports each entry once it is due. Nothing is removed before: whoever is told ignores what has ended.
+/// Reports each entry once it is due. Entries can't be cancelled: the receiver has to ignore those that are
+/// obsolete.
 class TimerQueue {
 public:
     using Entry = std::variant<AttemptDeadline, TimerToken>;
@@ -31,10 +32,10 @@
     /// @param clock  must outlive this.
     TimerQueue(boost::asio::io_context& io, const net::Clock& clock, OnDue on_due);
 
-    /// Adds an entry. arm() has to follow.
+    /// Adds an entry. The caller has to call arm() afterwards.
     void add(Millis at, const Entry& entry);
 
-    /// Sets the system's timer to the earliest entry.
+    /// Sets the timer to the earliest entry.
     void arm();
 
 private:
@@ -43,8 +44,8 @@
         std::uint64_t sequence = 0;
         Entry entry;
 
-        /// Whether this one is due after the other. At one time attempts end before the Balancer's timers
-        /// fire, as on the simulator's wire.
+        /// Returns whether this entry is due after the other. Among entries of the same time, attempt
+        /// deadlines come before the Balancer's timers, as on the simulator's wire.
         bool operator<(const Scheduled& other) const;
     };
 
