--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -20,86 +20,102 @@
 
 namespace {
 
-// What a watch that has fallen silent misses counts as told 6 s after that, or 2 s past its hold if that is
-// later (PROTOCOL, "Figures"). It may have done so right after its call, so with a hold of up to 4 s the list
-// has to be here anew 6 s after the call: 1.5 s of hold, 0.5 s for its answer to be late by, and 4 s left for
-// a whole fleet's calls, should all fall silent at once, as discovery handles new watches in turn. With a
-// hold of 4 s or more 1.5 s would be left. The same 6 s hold after a call that failed in any other way, from
-// when discovery can be reached: one that hung takes the 2 s, the next may begin up to 1.5 s later (the
-// policy's longest wait), and has 2 s for its turn.
-constexpr Millis kTold = 6000, kToldPastHold = 2000;
-constexpr Millis kHold = 1500, kLate = 500;
-static_assert(kHold + kToldPastHold <= kTold);
-// After SIGHUP what discovery reports counts as told 4 s after the signal (TERMS, "Reconfiguration").
-constexpr Millis kToldAfterMove = 4000;
-constexpr Millis kFirstBackoff = 25, kLongestBackoff = 400;
-constexpr std::size_t kListLimit = 8 * 1024 * 1024;
+/// The platform requires that a change which a broken watch misses counts as notified 6 s after the watch
+/// broke: from then on the sidecar has to act as if it knew the change. The same holds after any other failed
+/// call. If discovery is unreachable, the 6 s begin when it can be reached again.
+constexpr Millis kNotifiedAfter = 6000;
+/// If a watch broke silently, the change counts as notified only 2 s after the end of the call's hold, if
+/// that is later than the 6 s above.
+constexpr Millis kNotifiedAfterHold = 2000;
+/// For how long discovery holds a call open if the list does not change. The connection may break right after
+/// the call was sent, so with a hold of up to 4 s the list has to arrive within 6 s of that call. These 6 s
+/// are 1.5 s of hold, 0.5 s for a late response, and 4 s for the next call: if all watches of a fleet break
+/// at once, discovery needs this time, as it handles new calls one after another. A hold of 4 s or more would
+/// leave only 1.5 s for the next call.
+constexpr Millis kHoldTime = 1500;
+/// The delay after the end of the hold from which a response counts as late. A call that hangs thus takes 2 s
+/// of the 6 s above. The next one may start up to 1.5 s later (the policy's longest wait), and discovery
+/// still has 2 s to handle it.
+constexpr Millis kResponseMargin = 500;
+static_assert(kHoldTime + kNotifiedAfterHold <= kNotifiedAfter);
+/// The platform requires that after SIGHUP the list of the new discovery counts as notified 4 s after the
+/// signal.
+constexpr Millis kNotifiedAfterMove = 4000;
+constexpr Millis kInitialBackoff = 25;
+constexpr Millis kMaxBackoff = 400;
+constexpr std::size_t kMaxListBytes = 8 * 1024 * 1024;
 
 }  // namespace
 
-// One connection to discovery, and the one call that is out on it.
+/// A connection to discovery with at most one call in flight.
 class Discovery::Call : public std::enable_shared_from_this<Call> {
 public:
     Call(asio::io_context& io, const net::Tcp::endpoint& address)
         : address_(address), socket_(io), timer_(io) {}
 
-    using Done = std::function<void(const Answer& answer)>;
-    // `late`: called once if there is no answer by then; the call stays out.
-    void get(const std::string& target, Millis patience, Done done, std::function<void()> late) {
-        done_ = std::move(done);
-        since_ = Steady::now();
+    using OnDone = std::function<void(const Result& result)>;
+
+    /// Sends a GET request.
+    /// @param on_done  called with the result, unless the call is closed before.
+    /// @param on_late  called once if there is no response within the time-out; the call stays in flight.
+    void get(const std::string& target, Millis timeout, OnDone on_done, std::function<void()> on_late) {
+        on_done_ = std::move(on_done);
+        started_at_ = Steady::now();
         net::log(spdlog::level::debug, "discovery.call",
                  {{"target", target}, {"connected", socket_.is_open()}});
         request_ = {http::verb::get, target, net::kHttpVersion};
         request_.set(http::field::host,
                      address_.address().to_string() + ":" + std::to_string(address_.port()));
-        timer_.expires_after(net::to_duration(patience));
-        timer_.async_wait([weak = weak_from_this(), late = std::move(late)](error_code cancelled) {
-            if (const auto self = weak.lock(); self && !cancelled && self->done_) late();
+        timer_.expires_after(net::to_duration(timeout));
+        timer_.async_wait([weak = weak_from_this(), on_late = std::move(on_late)](error_code cancelled) {
+            if (const auto self = weak.lock(); self && !cancelled && self->on_done_) on_late();
         });
         if (socket_.is_open()) return write();
         socket_.async_connect(address_, [self = shared_from_this()](error_code failed) {
-            if (failed) return self->unconnected(failed);
+            if (failed) return self->on_connect_failed(failed);
             net::log(spdlog::level::debug, "discovery.connected", {{"after_ms", self->age()}});
             error_code ignored;
             self->socket_.set_option(net::Tcp::no_delay(true), ignored);
             self->write();
         });
     }
-    bool open() const { return socket_.is_open(); }
-    bool out() const { return done_ != nullptr; }
-    Steady::time_point since() const { return since_; }
+    bool is_open() const { return socket_.is_open(); }
+    bool is_in_flight() const { return on_done_ != nullptr; }
+    Steady::time_point started_at() const { return started_at_; }
     void close() {
-        done_ = nullptr;
-        drop();
+        on_done_ = nullptr;
+        disconnect();
     }
 
 private:
     void write() {
         http::async_write(socket_, request_, [self = shared_from_this()](error_code failed, std::size_t) {
-            if (failed) return self->end("not written: " + failed.message());
+            if (failed) return self->finish("request not sent: " + failed.message());
             self->read();
         });
     }
-    // What is this machine's own want says nothing of discovery: it may be reachable, and the time until
-    // what it has to tell counts as told runs on.
-    void unconnected(error_code why) {
-        end("not connected: " + why.message(),
-            net::is_local_failure(why) ? ListFailure::broken : ListFailure::unreachable);
+    /// A shortage of resources on this machine does not show that discovery is unreachable, so the time from
+    /// which the missed changes count as notified stays as it is.
+    void on_connect_failed(error_code error) {
+        finish("cannot connect: " + error.message(),
+               net::is_local_failure(error) ? ListFailure::broken : ListFailure::unreachable);
     }
     void read() {
         parser_.emplace();
         net::async_read_bounded(
-            socket_, buffer_, *parser_, kListLimit, [self = shared_from_this()](error_code failed) {
-                if (failed) return self->end("broken off: " + failed.message());
-                const auto& answer = self->parser_->get();
-                const bool succeeded = answer.result() == http::status::ok;
-                self->end(succeeded ? "" : "status " + std::to_string(answer.result_int()),
-                          ListFailure::rejected, retry_after(answer[http::field::retry_after]));
+            socket_, buffer_, *parser_, kMaxListBytes, [self = shared_from_this()](error_code failed) {
+                if (failed)
+                    return self->finish("connection broken off before the end of the response: " +
+                                        failed.message());
+                const auto& response = self->parser_->get();
+                const bool succeeded = response.result() == http::status::ok;
+                self->finish(succeeded ? "" : "status " + std::to_string(response.result_int()),
+                             ListFailure::rejected, parse_retry_after(response[http::field::retry_after]));
             });
     }
-    // In seconds, whole or decimal; what can't be read is not there.
-    static std::optional<Millis> retry_after(boost::beast::string_view seconds) {
+    /// Converts a Retry-After header in seconds, with or without decimals. Absent: it is missing or
+    /// malformed.
+    static std::optional<Millis> parse_retry_after(boost::beast::string_view seconds) {
         double value = 0;
         if (!net::parse_number(std::string_view(seconds.data(), seconds.size()), value) ||
             !std::isfinite(value) || value < 0)
@@ -107,28 +123,28 @@
         constexpr Millis kSecond = 1000;
         return value * kSecond;
     }
-    void drop() {
+    void disconnect() {
         error_code ignored;
         socket_.close(ignored);
         timer_.cancel();
     }
-    // `why`: empty where there is an answer.
-    void end(std::string why, ListFailure failure = ListFailure::broken,
-             std::optional<Millis> retry_after = {}) {
-        const Done done = std::exchange(done_, nullptr);
-        if (!done) return;
+    /// @param error  empty if there is a response.
+    void finish(std::string error, ListFailure failure = ListFailure::broken,
+                std::optional<Millis> retry_after = {}) {
+        const OnDone on_done = std::exchange(on_done_, nullptr);
+        if (!on_done) return;
         timer_.cancel();
-        if (!why.empty() || !parser_->keep_alive()) drop();
-        Answer answer;
-        if (why.empty()) answer.body = std::move(parser_->get().body());
+        if (!error.empty() || !parser_->keep_alive()) disconnect();
+        Result result;
+        if (error.empty()) result.body = std::move(parser_->get().body());
         net::log(spdlog::level::debug, "discovery.ended",
-                 {{"after_ms", age()}, {"why", why}, {"bytes", answer.body ? answer.body->size() : 0}});
-        answer.why = std::move(why);
-        answer.failure = failure;
-        answer.retry_after = retry_after;
-        done(answer);
+                 {{"after_ms", age()}, {"why", error}, {"bytes", result.body ? result.body->size() : 0}});
+        result.error = std::move(error);
+        result.failure = failure;
+        result.retry_after = retry_after;
+        on_done(result);
     }
-    Millis age() const { return net::millis(Steady::now() - since_); }
+    Millis age() const { return net::millis(Steady::now() - started_at_); }
 
     net::Tcp::endpoint address_;
     net::Tcp::socket socket_;
@@ -136,135 +152,145 @@
     http::request<http::empty_body> request_;
     boost::beast::flat_buffer buffer_;
     std::optional<http::response_parser<http::string_body>> parser_;
-    Done done_;
-    Steady::time_point since_;  // of the call that is out
+    OnDone on_done_;
+    /// When the last call was started.
+    Steady::time_point started_at_;
 };
 
 Discovery::Discovery(asio::io_context& io, const net::Tcp::endpoint& address, std::uint64_t version,
-                     bool persistent, Millis drain_grace, Callbacks callbacks)
+                     bool auto_retry, Millis drain_grace, Callbacks callbacks)
     : io_(io),
       address_(address),
       version_(version),
-      persistent_(persistent),
-      // Where lists are pushed, what the agent got while it could not be reached counts at once when it is
-      // back: half of the grace to try again, the other half to be answered.
-      longest_backoff_(std::clamp(drain_grace / 2, kFirstBackoff, kLongestBackoff)),
+      auto_retry_(auto_retry),
+      // If discovery gets its lists pushed, the changes that discovery received while it was unreachable
+      // count as notified as soon as it can be reached again. Half of the grace is for the next retry, half
+      // for its response.
+      max_backoff_(std::clamp(drain_grace / 2, kInitialBackoff, kMaxBackoff)),
       callbacks_(std::move(callbacks)),
       timer_(io),
-      backoff_(kFirstBackoff) {}
+      backoff_(kInitialBackoff) {}
 
 Discovery::~Discovery() {
-    drop(watch_);
-    drop(late_);
+    close(call_);
+    close(late_call_);
 }
 
-void Discovery::drop(std::shared_ptr<Call>& call) {
+void Discovery::close(std::shared_ptr<Call>& call) {
     if (call) call->close();
     call = nullptr;
 }
 
 void Discovery::watch(bool active) {
-    if (active && watch_ && watch_->out()) return;
+    if (active && call_ && call_->is_in_flight()) return;
     active_ = active;
     timer_.cancel();
-    if (active) return begin();
-    drop(watch_);
-    drop(late_);
+    if (active) return start_call();
+    close(call_);
+    close(late_call_);
 }
 
 Discovery::State Discovery::state() const {
-    State state{version_, calls_, {}, {}, told_};
+    State state{version_, call_count_, {}, {}, failing_};
     if (answered_at_) state.age = net::millis(Steady::now() - *answered_at_);
-    if (answered_before_) state.age_before = net::millis(Steady::now() - *answered_before_);
+    if (previously_answered_at_) state.previous_age = net::millis(Steady::now() - *previously_answered_at_);
     return state;
 }
 
-void Discovery::begin() {
-    ++calls_;
-    if (!watch_ || !watch_->open()) watch_ = std::make_shared<Call>(io_, address_);
+void Discovery::start_call() {
+    ++call_count_;
+    if (!call_ || !call_->is_open()) call_ = std::make_shared<Call>(io_, address_);
     std::string target = "/catalog/members";
-    if (!whole_)
-        target += "?from=" + std::to_string(version_) + "&hold_ms=" + std::to_string(static_cast<int>(kHold));
-    watch_->get(
-        target, kHold + kLate, [this, call = watch_.get()](const Answer& answer) { finished(*call, answer); },
-        [this, call = watch_.get()] { overdue(*call); });
+    if (!needs_full_list_)
+        target +=
+            "?from=" + std::to_string(version_) + "&hold_ms=" + std::to_string(static_cast<int>(kHoldTime));
+    call_->get(
+        target, kHoldTime + kResponseMargin,
+        [this, call = call_.get()](const Result& result) { on_finished(*call, result); },
+        [this, call = call_.get()] { on_late(*call); });
 }
 
-// It may have fallen silent, or be waiting its turn: the next is begun beside it, so that a mere delay costs
-// nothing. Where that one is late too, it takes the place of the first.
-void Discovery::overdue(const Call& call) {
-    if (&call != watch_.get()) return;
-    told_by(call.since() + net::to_duration(kTold));
-    drop(late_);
-    late_ = std::exchange(watch_, nullptr);
-    failed("no answer in time", ListFailure::timed_out);
+/// The connection may have broken silently, or discovery may only be slow. The next call is therefore sent
+/// while the late one stays in flight, so that the response to either can be used. If the next call is late
+/// as well, it replaces the first.
+void Discovery::on_late(const Call& call) {
+    if (&call != call_.get()) return;
+    set_notified_by(call.started_at() + net::to_duration(kNotifiedAfter));
+    close(late_call_);
+    late_call_ = std::exchange(call_, nullptr);
+    on_failed("no response within the time-out", ListFailure::timed_out);
 }
 
-void Discovery::told_by(Steady::time_point at) { told_at_ = told_at_ ? std::min(*told_at_, at) : at; }
+void Discovery::set_notified_by(Steady::time_point at) {
+    notified_at_ = notified_at_ ? std::min(*notified_at_, at) : at;
+}
 
-void Discovery::move(const net::Tcp::endpoint& address) {
+void Discovery::change_address(const net::Tcp::endpoint& address) {
     address_ = address;
-    backoff_ = kFirstBackoff;
+    backoff_ = kInitialBackoff;
     if (!active_) return;
-    told_by(Steady::now() + net::to_duration(kToldAfterMove));
+    set_notified_by(Steady::now() + net::to_duration(kNotifiedAfterMove));
     watch(false);
     watch(true);
 }
 
-void Discovery::finished(const Call& call, const Answer& answer) {
-    const auto& [body, said, failure, retry_after] = answer;
-    const bool late = &call == late_.get();
-    const auto since = call.since();
-    std::string why = said;
+void Discovery::on_finished(const Call& call, const Result& result) {
+    const auto& [body, call_error, failure, retry_after] = result;
+    const bool is_late = &call == late_call_.get();
+    const auto started_at = call.started_at();
+    std::string error = call_error;
     std::optional<config::DiscoveryList> list;
     try {
         if (body) list = config::read_members(*body);
-    } catch (const std::exception& error) {
-        why = error.what();
+    } catch (const std::exception& exception) {
+        error = exception.what();
     }
-    // Older than what is held: that is kept, and the whole list asked for, whatever its version may be.
-    if (list && !whole_ && list->version < version_) {
-        why = "version " + std::to_string(list->version) + " after " + std::to_string(version_);
+    // The held list is kept if the response is older, and the next call asks for the full list of any
+    // version.
+    if (list && !needs_full_list_ && list->version < version_) {
+        error = "list version " + std::to_string(list->version) + " is older than the held version " +
+                std::to_string(version_);
         list.reset();
-        whole_ = !late;
+        needs_full_list_ = !is_late;
     }
-    if (late && !list) {  // the other goes on
-        if (body) net::log(spdlog::level::warn, "discovery.ignored", {{"why", why}});
-        return drop(late_);
+    if (is_late && !list) {  // the newer call stays in flight
+        if (body) net::log(spdlog::level::warn, "discovery.ignored", {{"why", error}});
+        return close(late_call_);
     }
-    if (late) {
-        drop(watch_);
+    if (is_late) {
+        close(call_);
         timer_.cancel();
-        watch_ = std::move(late_);
+        call_ = std::move(late_call_);
     } else if (list) {
-        drop(late_);
+        close(late_call_);
     } else if (body) {
-        drop(watch_);
+        close(call_);
     }
     if (!list) {
-        // Whoever is refused knows that discovery can't be reached yet: the time begins after that.
+        // If the connection was refused, discovery is still unreachable, and the time begins after that.
         if (failure == ListFailure::unreachable)
-            told_at_ = Steady::now() + net::to_duration(kTold);
+            notified_at_ = Steady::now() + net::to_duration(kNotifiedAfter);
         else
-            told_by(since + net::to_duration(kTold));
-        return failed(why, body ? ListFailure::broken : failure, retry_after);
+            set_notified_by(started_at + net::to_duration(kNotifiedAfter));
+        return on_failed(error, body ? ListFailure::broken : failure, retry_after);
     }
-    backoff_ = kFirstBackoff;
-    told_at_.reset();
-    answered_before_ = std::exchange(answered_at_, Steady::now());
+    backoff_ = kInitialBackoff;
+    notified_at_.reset();
+    previously_answered_at_ = std::exchange(answered_at_, Steady::now());
     version_ = list->version;
-    whole_ = false;
-    if (active_) begin();  // before anything else: the next watch is due
-    const bool again = std::exchange(told_, false);
-    if (again) net::log(spdlog::level::info, "discovery.answers", {{"version", version_}});
-    if (list->full || !list->members.empty() || again) callbacks_.changed(*list);
+    needs_full_list_ = false;
+    if (active_) start_call();  // first, as the list is not watched until then
+    const bool has_recovered = std::exchange(failing_, false);
+    if (has_recovered) net::log(spdlog::level::info, "discovery.answers", {{"version", version_}});
+    if (list->full || !list->members.empty() || has_recovered) callbacks_.on_changed(*list);
 }
 
-void Discovery::failed(const std::string& why, ListFailure kind, std::optional<Millis> retry_after) {
-    if (!std::exchange(told_, true)) net::log(spdlog::level::warn, "discovery.failed", {{"why", why}});
-    if (!persistent_) return callbacks_.failed({kind, net::millis(*told_at_ - Steady::now()), retry_after});
+void Discovery::on_failed(const std::string& error, ListFailure kind, std::optional<Millis> retry_after) {
+    if (!std::exchange(failing_, true)) net::log(spdlog::level::warn, "discovery.failed", {{"why", error}});
+    if (!auto_retry_)
+        return callbacks_.on_failed({kind, net::millis(*notified_at_ - Steady::now()), retry_after});
     timer_.expires_after(net::to_duration(backoff_));
-    backoff_ = std::min(2 * backoff_, longest_backoff_);
+    backoff_ = std::min(2 * backoff_, max_backoff_);
     timer_.async_wait([this](error_code cancelled) {
         if (!cancelled && active_) watch(true);
     });
--- a/src/node/endpoint_directory.cpp
+++ b/src/node/endpoint_directory.cpp
@@ -63,9 +63,9 @@
 Millis EndpointDirectory::started_at(const config::DiscoveredServer& entry,
                                      const ServerStartTimes::Moment& moment) {
     const ServerStartTimes::Start start = start_times_.start_of(entry.id, entry.started, moment);
-    if (start.changed && start.dated)
+    if (start.has_changed && start.is_dated)
         net::log(net::LogLevel::info, "server.start_dated", {{"server", entry.id}});
-    else if (start.changed)
+    else if (start.has_changed)
         net::log(net::LogLevel::warn, "server.start_not_dated",
                  {{"server", entry.id}, {"started_ms", entry.started}, {"taken_for", "started just now"}});
     return start.at;
@@ -87,7 +87,7 @@
     const Endpoint& endpoint = at->second;
     if (endpoint.is_listed() || endpoint.attempts_in_flight > 0) return;
     upstream_.forget_server(id);
-    start_times_.unlisted(endpoint.name, clock_.now());
+    start_times_.on_unlisted(endpoint.name, clock_.now());
     ids_.erase(endpoint.name);
     endpoints_.erase(at);
 }
--- a/src/node/endpoint_directory.hpp
+++ b/src/node/endpoint_directory.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The servers by name and identifier, and what the sockets need to know of them.
+/// The directory of servers, by name and by identifier.
 #pragma once
 
 #include <cstddef>
@@ -16,36 +16,38 @@
 
 namespace mothring::node {
 
-/// Gives each server an identifier and turns the lists of discovery into events. A server is kept while it is
-/// listed or has an attempt in flight; if it comes back later, it gets a new identifier.
+/// Gives each server an identifier, converts the lists of discovery into events, and passes the servers'
+/// addresses on to the upstream pool. A server is kept while it is listed or has an attempt in flight; one
+/// that is listed again later gets a new identifier.
 class EndpointDirectory {
 public:
     /// @param site, clock, upstream  must outlive this.
     EndpointDirectory(Site& site, const net::Clock& clock, UpstreamPool& upstream)
         : site_(site), clock_(clock), upstream_(upstream) {}
 
-    /// Takes the entries of a list.
-    /// @param moment  when it came.
-    /// @return the event that reports them.
+    /// Applies the entries of a list.
+    /// @param moment  when the list was received.
+    /// @return the event that reports the entries to the Balancer.
     EndpointList update(ListKind kind, const config::DiscoveryList& list,
                         const ServerStartTimes::Moment& moment);
-    /// The servers that may be gone by a list: of an incremental one those that it names, however many are
-    /// listed, else any.
+    /// Returns the servers that a list may have removed. For an incremental list these are only the servers
+    /// that it names, so that the cost does not grow with the number of listed servers; for any other list,
+    /// all.
     std::vector<ServerId> affected_by(const EndpointList& list) const;
 
-    /// An attempt on a server begins or ends. Unknown servers are ignored.
+    /// Counts an attempt in flight to a server, or its end. Unknown servers are ignored.
     void add_attempt(ServerId id);
     void remove_attempt(ServerId id);
 
-    /// Drops a server that is not listed and has no attempt in flight.
+    /// Removes a server that is not listed and has no attempt in flight.
     void forget_if_gone(ServerId id);
 
     bool contains(ServerId id) const { return endpoints_.contains(id); }
-    /// Listed, as active or draining.
+    /// Whether the server is listed, as active or draining.
     bool is_listed(ServerId id) const;
-    /// Listed as active: it may be sent new requests.
+    /// Whether the server is listed as active, so that new requests may be sent to it.
     bool is_active(ServerId id) const;
-    /// Empty: not known.
+    /// Returns the name of a server; empty if it is unknown.
     std::string name_of(ServerId id) const;
     std::size_t listed_count() const { return listed_count_; }
 
--- a/src/node/endpoint_list_updater.cpp
+++ b/src/node/endpoint_list_updater.cpp
@@ -37,9 +37,9 @@
                   },
                   [this](const Discovery::Failure& failure) { report_failure(failure); }}) {}
 
-void EndpointListUpdater::move(const net::Tcp::endpoint& address) {
-    moved_at_ = clock_.now();
-    discovery_.move(address);
+void EndpointListUpdater::change_address(const net::Tcp::endpoint& address) {
+    address_changed_at_ = clock_.now();
+    discovery_.change_address(address);
 }
 
 void EndpointListUpdater::update(ListKind kind, const config::DiscoveryList& list) {
@@ -56,12 +56,15 @@
         EndpointList{ListKind::failed, {}, failure.notified_within, failure.kind, failure.retry_after});
 }
 
-// A cached list may be old and bounds nobody's age; nor do the answers of another discovery.
+/// A server that appears in a watched list started after the previous response, which bounds its age. A
+/// cached list may be old, and responses from a previous address of discovery came from another list, so
+/// neither bounds an age.
 ServerStartTimes::Moment EndpointListUpdater::moment_of(ListKind kind) const {
     ServerStartTimes::Moment moment{clock_.now(), clock_.wall_time(), {}};
     if (kind == ListKind::cached) return moment;
-    moment.since_answer = discovery_.state().age_before;
-    if (moved_at_ && moment.since_answer > moment.now - *moved_at_) moment.since_answer.reset();
+    moment.since_response = discovery_.state().previous_age;
+    if (address_changed_at_ && moment.since_response > moment.now - *address_changed_at_)
+        moment.since_response.reset();
     return moment;
 }
 
--- a/src/node/endpoint_list_updater.hpp
+++ b/src/node/endpoint_list_updater.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Brings the lists of discovery to the endpoint directory and the Balancer.
+/// Passes the endpoint lists of discovery on to the endpoint directory and the Balancer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,20 +14,20 @@
 
 namespace mothring::node {
 
-/// Owns the watch at discovery.
+/// Owns the client of discovery, and applies the lists that it receives.
 class EndpointListUpdater {
 public:
     /// @param clock, loop, endpoints  must outlive this.
-    /// @param on_updated  the endpoints are those of a list that discovery has sent.
+    /// @param on_updated  called after each list that discovery has sent, once the endpoints are updated.
     EndpointListUpdater(boost::asio::io_context& io, const config::Config& config, const net::Clock& clock,
                         EventLoop& loop, EndpointDirectory& endpoints, std::function<void()> on_updated);
 
-    /// Takes a list as known before this start.
+    /// Applies a list that was stored before this process started.
     void use_cached(const config::DiscoveryList& list) { update(ListKind::cached, list); }
-    /// Watches the list, or ends the watch.
+    /// Starts or ends the watch of the endpoint list.
     void watch(bool active) { discovery_.watch(active); }
-    /// Discovery has another address.
-    void move(const net::Tcp::endpoint& address);
+    /// Changes the address of discovery.
+    void change_address(const net::Tcp::endpoint& address);
 
     Discovery::State state() const { return discovery_.state(); }
 
@@ -40,8 +40,8 @@
     EventLoop& loop_;
     EndpointDirectory& endpoints_;
     std::function<void()> on_updated_;
-    /// Absent: it has not.
-    std::optional<Millis> moved_at_;
+    /// When the address of discovery was last changed. Absent: it has not been changed.
+    std::optional<Millis> address_changed_at_;
     Discovery discovery_;
 };
 
--- a/src/node/server_start_times.cpp
+++ b/src/node/server_start_times.cpp
@@ -9,19 +9,21 @@
 
 namespace {
 
-// So far ahead of a clock a start still counts as just now: clocks are read in turn, in whole milliseconds.
+/// A start that is ahead of the clocks by at most this time counts as just now: the clocks are read one after
+/// another and reports are in whole milliseconds.
 constexpr Millis kClockTolerance = 50;
-// The least time between two incarnations, so that they can be told from each other.
+/// The least time between the starts of two incarnations, so that they stay distinguishable.
 constexpr Millis kMinIncarnationGap = 1;
-// A server that is off the list for longer is dated anew. Long against outages of a zone or of discovery.
-constexpr Millis kRememberFor = 600000;
+/// A server that has been off the list for longer is dated again when it returns. The time is long
+/// compared with outages of a zone or of discovery.
+constexpr Millis kRetentionTime = 600000;
 
-// Below any age: of a start that can't be dated.
+/// Stands for the age of a start that can't be dated; less than any real age.
 constexpr Millis kUnknownAge = -1;
 
-// The age by a report; kUnknownAge where the report can't be right. By either clock alone a step could make a
-// server older: the wall clock is off where only this machine's was stepped, the sidecar's own where all
-// machines' were. So the lesser age counts.
+/// Returns the age that a report implies, or kUnknownAge if the report is not plausible. The lesser of the
+/// ages by two clocks counts, as a step could make a server appear older by either clock alone: by the wall
+/// clock if only this machine's was stepped, by the sidecar's own clock if all machines' wall clocks were.
 Millis reported_age(Millis reported, const ServerStartTimes::Moment& moment) {
     const Millis latest = std::max(moment.wall, moment.now) + kClockTolerance;
     if (reported < 0 || reported > latest) return kUnknownAge;
@@ -39,37 +41,37 @@
     if (!is_new) {
         Record& record = known->second;
         record.unlisted_at.reset();
-        if (reported == 0 || reported == record.reported) return {record.at, record.dated, false};
+        if (reported == 0 || reported == record.reported) return {record.at, record.is_dated, false};
     }
     const Start start = date(is_new ? nullptr : &known->second, reported, moment);
-    records_[server] = {reported, start.at, start.dated, std::nullopt};
+    records_[server] = {reported, start.at, start.is_dated, std::nullopt};
     return start;
 }
 
-// A server that comes to a watched list can't have started before the answer that did not name it. Where
-// there is no such bound, a start before the one that was known can't be dated.
+/// A server that appears in a watched list must have started after the previous response, which did not name
+/// it. Without such a bound, a reported start before the known one can't be dated.
 ServerStartTimes::Start ServerStartTimes::date(const Record* previous, Millis reported,
                                                const Moment& moment) {
     Millis age = reported_age(reported, moment);
-    if (age >= 0 && moment.since_answer) age = std::min(age, std::max(0.0, *moment.since_answer));
+    if (age >= 0 && moment.since_response) age = std::min(age, std::max(0.0, *moment.since_response));
     const bool is_earlier = previous != nullptr && reported < previous->reported;
-    if (is_earlier && !moment.since_answer) age = kUnknownAge;
+    if (is_earlier && !moment.since_response) age = kUnknownAge;
     Start start{moment.now - std::max(0.0, age), age >= 0};
-    start.changed = start.dated != (previous == nullptr || previous->dated);
+    start.has_changed = start.is_dated != (previous == nullptr || previous->is_dated);
     if (previous != nullptr) start.at = std::max(start.at, previous->at + kMinIncarnationGap);
     return start;
 }
 
-void ServerStartTimes::unlisted(const std::string& server, Millis now) {
+void ServerStartTimes::on_unlisted(const std::string& server, Millis now) {
     if (const auto known = records_.find(server); known != records_.end()) {
         known->second.unlisted_at = now;
         unlisted_.push_back({now, server});
     }
-    forget_old(now);
+    remove_old_records(now);
 }
 
-void ServerStartTimes::forget_old(Millis now) {
-    while (!unlisted_.empty() && unlisted_.front().at < now - kRememberFor) {
+void ServerStartTimes::remove_old_records(Millis now) {
+    while (!unlisted_.empty() && unlisted_.front().at < now - kRetentionTime) {
         const auto& [at, server] = unlisted_.front();
         const auto known = records_.find(server);
         if (known != records_.end() && known->second.unlisted_at == at) records_.erase(known);
--- a/src/node/server_start_times.hpp
+++ b/src/node/server_start_times.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// When each server started, on the sidecar's own time line.
+/// The start times of the servers, on the sidecar's own time line.
 #pragma once
 
 #include <cstddef>
@@ -12,46 +12,50 @@
 
 namespace mothring::node {
 
-/// Dates the starts of servers. They report them by a wall clock (`started_ms`), and a wall clock may be
-/// stepped, forward or back: this machine's, the server's, or all. So each start is dated once, when that
-/// incarnation is first seen, and its age is carried on by the monotonic clock. Reads no clock itself.
+/// Dates the starts of servers. Servers report their start by a wall clock (`started_ms`), and the wall clock
+/// of this machine, of the server or of all machines may be stepped forward or back. Each start is therefore
+/// dated only once, when that incarnation is first seen; from then on its age follows the monotonic clock.
+/// This class reads no clock itself.
 class ServerStartTimes {
 public:
-    /// What is known of the time at which a list came.
+    /// The time at which a list was received.
     struct Moment {
-        /// On the sidecar's time line, which runs on with the monotonic clock.
+        /// Time on the sidecar's time line, which follows the monotonic clock.
         Millis now = 0;
-        /// By this machine's wall clock, Unix time.
+        /// Unix time by this machine's wall clock.
         Millis wall = 0;
-        /// The time since discovery's previous answer. Absent: there is none that was complete up to then.
-        std::optional<Millis> since_answer{};
+        /// The time since discovery's previous response. Absent: there is no previous response after which
+        /// the list has been watched without a gap.
+        std::optional<Millis> since_response{};
     };
 
+    /// The start of a server's incarnation.
     struct Start {
-        /// On the sidecar's time line; 0: long ago.
+        /// Time on the sidecar's time line; 0: long ago.
         Millis at = 0;
-        /// The report can be right; else `at` is when it was first seen.
-        bool dated = true;
-        /// `dated` differs from what was last returned for this server.
-        bool changed = false;
+        /// The reported start is plausible; else `at` is when this report was first seen.
+        bool is_dated = true;
+        /// `is_dated` differs from the value that was last returned for this server.
+        bool has_changed = false;
     };
 
-    /// The start of a server that is on the list. A report that differs from the previous one, earlier or
-    /// later, is of another incarnation, which starts later than the previous one; only 0 is not.
-    /// @param reported  its `started_ms`; 0: long ago.
+    /// Returns the start of a listed server. A report that differs from the previous one, be it earlier or
+    /// later, is taken for a new incarnation, which started after the previous one; a report of 0 is not.
+    /// @param reported  the server's `started_ms`; 0: long ago.
     Start start_of(const std::string& server, Millis reported, const Moment& moment);
 
-    /// The server is on no list any more. If it returns within some time, the same incarnation keeps its age.
-    void unlisted(const std::string& server, Millis now);
+    /// Records that a server is no longer listed. An incarnation that is listed again within ten minutes
+    /// keeps its age.
+    void on_unlisted(const std::string& server, Millis now);
 
-    /// Servers of which something is remembered.
+    /// Returns the number of servers with a stored start.
     std::size_t size() const { return records_.size(); }
 
 private:
     struct Record {
         Millis reported = 0;
         Millis at = 0;
-        bool dated = true;
+        bool is_dated = true;
         std::optional<Millis> unlisted_at;
     };
     struct Unlisted {
@@ -60,11 +64,11 @@
     };
 
     static Start date(const Record* previous, Millis reported, const Moment& moment);
-    void forget_old(Millis now);
+    void remove_old_records(Millis now);
 
-    /// Of servers that have reported a start.
+    /// Records of the servers that have reported a start.
     std::unordered_map<std::string, Record> records_;
-    /// The earliest first.
+    /// Servers that were removed from the list, the earliest first.
     std::deque<Unlisted> unlisted_;
 };
 
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-// A connection is closed here this part of idle-close-ms before the server closes it.
+/// The sidecar closes an idle connection before the server does, by this fraction of idle-close-ms.
 constexpr double kIdleMargin = 0.07;
-// An answer of unknown length is kept back for at most this part of the shortest latency objective.
-constexpr double kGatherDivisor = 8;
+/// A response of unknown length is buffered for at most the shortest latency objective divided by this.
+constexpr double kBufferingDivisor = 8;
 constexpr Millis kListenRetryDelay = 50;
 
 Millis shortest_objective(const Settings& settings) {
@@ -30,7 +30,7 @@
     limits.connect_timeout = config.connect_timeout;
     limits.idle_timeout = config.idle_close * (1 - kIdleMargin);
     limits.max_connections = connections;
-    limits.buffering_time = shortest_objective(config.site.settings) / kGatherDivisor;
+    limits.buffering_time = shortest_objective(config.site.settings) / kBufferingDivisor;
     return limits;
 }
 
@@ -65,7 +65,8 @@
     endpoint_list_.use_cached(config_.known);
     config_.known = {};
     if (!config_.site.settings.must_subscribe) endpoint_list_.watch(true);
-    // Beside another process, clients come here as soon as this one listens: not before there is a server.
+    // While another process of this sidecar runs, clients connect to this one as soon as it listens. It
+    // therefore does not listen before a server is listed.
     if (!limits_.halved() || endpoints_.listed_count() > 0) listen_for_clients();
 }
 
@@ -75,7 +76,7 @@
             [this] { handle_failure(); }};
 }
 
-// ---- What is listened on and joined -----------------------------------------------------------------------
+// ---- Addresses of operators and peers, hot restart, cluster -----------------------------------------------
 
 void Sidecar::listen_for_operators() {
     try {
@@ -84,11 +85,11 @@
             OperatorListener::Callbacks{[this] { return ready(); }, [this] { return render(metrics()); }});
     } catch (const boost::system::system_error& error) {
         if (net::is_resource_shortage(error.code())) throw;
-        throw config::ConfigError("'operator' can't be listened on: " + error.code().message());
+        throw config::ConfigError("cannot listen on the address of 'operator': " + error.code().message());
     }
 }
 
-// An address of the system's choice is no other process's.
+/// A port that the system chooses is not shared with another process, so there is nothing to monitor.
 void Sidecar::start_hot_restart_monitor() {
     if (config_.listen.port() == 0) return;
     const std::string name =
@@ -121,7 +122,8 @@
         cluster_.emplace(io_, *config_.cluster, config_.name, MOTHRING_VERSION, cluster_callbacks());
     } catch (const boost::system::system_error& error) {
         if (net::is_resource_shortage(error.code())) throw;
-        throw config::ConfigError("'cluster.bind' can't be listened on: " + error.code().message());
+        throw config::ConfigError("cannot listen on the address of 'cluster.bind': " +
+                                  error.code().message());
     }
 }
 
@@ -156,8 +158,9 @@
     log_addresses();
 }
 
-// Beside another process this one begins to listen long after its start: what fails then, for want of a
-// descriptor or memory, must not leave it without a listener.
+/// While another process of this sidecar runs, this one may start to listen long after its start. If that
+/// fails for lack of a descriptor or of memory, it is retried, so that the process does not stay without a
+/// listener.
 void Sidecar::listen_for_clients_with_retry() {
     try {
         listen_for_clients();
@@ -192,13 +195,13 @@
     net::log(net::LogLevel::info, "sidecar.listening", std::move(addresses));
 }
 
-// ---- For the program and its operators --------------------------------------------------------------------
+// ---- Calls of the program and of its operators ------------------------------------------------------------
 
 void Sidecar::reconfigure(const config::Config& config) {
     if (config.discovery == config_.discovery) return;
     net::log(net::LogLevel::info, "discovery.moved", {{"address", net::format_endpoint(config.discovery)}});
     config_.discovery = config.discovery;
-    endpoint_list_.move(config.discovery);
+    endpoint_list_.change_address(config.discovery);
 }
 
 void Sidecar::drain(std::function<void()> on_drained) {
@@ -211,7 +214,7 @@
         shutdown_.finish();
 }
 
-// Where there is no memory for the sweep either, the next failure begins it.
+/// If there is no memory to schedule the sweep either, the next failure schedules it.
 void Sidecar::handle_failure() {
     overdue_sweep_.suspect_all();
     try {
--- a/src/node/sidecar.hpp
+++ b/src/node/sidecar.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The sidecar: builds its parts and joins them.
+/// The assembly of the sidecar from its parts.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -34,38 +34,40 @@
 
 namespace mothring::node {
 
-/// Serves from its construction on, or, beside another process of this sidecar, once there is a server to
-/// forward to.
+/// Accepts clients' requests and forwards them to servers. Listens for clients as soon as it is constructed;
+/// while another process of the same sidecar runs, as in a hot restart, only once a server is listed.
 class Sidecar {
 public:
-    /// @param io  runs everything; must outlive this.
-    /// @throws std::invalid_argument  the settings make no sense.
-    /// @throws config::ConfigError  an address of the settings can't be listened on.
-    /// @throws boost::system::system_error  the address for clients or peers can't be listened on, or
-    ///         descriptors or memory are short.
+    /// @param io  runs all handlers; must outlive this.
+    /// @throws std::invalid_argument  the settings are invalid.
+    /// @throws config::ConfigError  it cannot listen on the operators' or the cluster's address.
+    /// @throws boost::system::system_error  it cannot listen on the address for clients or peers, or lacks a
+    ///         descriptor or memory.
     Sidecar(boost::asio::io_context& io, config::Config config);
 
-    /// Takes over the address of discovery from a new configuration; the rest of it is ignored.
+    /// Applies the address of discovery from a new configuration, and ignores the rest.
     void reconfigure(const config::Config& config);
 
-    /// Finishes the requests in flight and those that still come.
-    /// @param on_drained  called once none is left, or the time for it is over.
+    /// Starts the graceful shutdown: finishes the requests in flight and those that still arrive.
+    /// @param on_drained  called once no request is left, or the time for the shutdown is over.
     void drain(std::function<void()> on_drained);
 
-    /// An exception has left the io_context's loop, or the handling of an event. What it cost is not known:
-    /// any request held may have lost what would have brought its response.
+    /// Recovers from an exception that has left the io_context's loop or the handling of an event. It is
+    /// unknown which work the exception has skipped, so the response of any current request may never be
+    /// produced. The requests that are without a response after their deadline are therefore ended.
     void handle_failure();
 
     net::Tcp::endpoint address() const { return listener_->address(); }
-    /// Where operators call. Absent: nowhere.
+    /// Returns the address for operators. Absent: none is configured.
     std::optional<net::Tcp::endpoint> operator_address() const;
-    /// Takes requests and has a server to forward them to.
+    /// Whether the sidecar accepts requests and has a server to forward them to.
     bool ready() const;
     Metrics metrics() const;
     Balancer::Gauges gauges() const { return loop_.gauges(); }
-    /// Requests held, also those that only wait for their attempts to end.
+    /// Returns the number of current requests, including those that only wait for their attempts to end.
     std::size_t request_count() const { return requests_.size(); }
-    /// Another process of this sidecar uses the other half of the limits, or may use it.
+    /// Whether this process uses half of the limits, as another process of this sidecar uses, or may use, the
+    /// other half.
     bool limits_halved() const { return limits_.halved(); }
     std::size_t buffered_bytes() const { return budget_->used; }
 
@@ -96,7 +98,7 @@
     std::optional<Peers> peers_;
     std::optional<OperatorListener> operators_;
     std::optional<cluster::Agent> cluster_;
-    /// A flood of datagrams that are rejected writes a line a second.
+    /// Logs at most one line per second about rejected datagrams, however many arrive.
     net::RateLimitedLog cluster_rejections_{std::chrono::seconds(1)};
     std::optional<HotRestartMonitor> hot_restart_;
     Metrics metrics_;
--- a/tests/clock_step_test.cpp
+++ b/tests/clock_step_test.cpp
@@ -1,5 +1,6 @@
-// The wall clocks of this machine, or of all machines, are stepped while the monotonic clock runs on: what
-// the sidecar makes of the starts that servers report, and that no span of time moves with a wall clock.
+/// @file
+/// Tests with steps of the wall clock, of this machine or of all, while the monotonic clock continues: the
+/// start times that servers report must be dated correctly, and no span of time may depend on a wall clock.
 #include <cmath>
 
 #include "net_rig.hpp"
@@ -9,7 +10,7 @@
 
 constexpr Millis kSecond = 1000, kHour = 3600 * kSecond;
 
-// `started_ms` as discovery writes it: any JSON.
+/// Returns a list as discovery sends it, in which each server's `started_ms` is the given JSON.
 std::string started_list(int version, bool full,
                          const std::vector<std::pair<ListedServer, std::string>>& servers) {
     std::string text = list_json(version, full, {});
@@ -26,13 +27,15 @@
 }
 std::string written_ms(Millis at) { return std::to_string(static_cast<std::int64_t>(at)); }
 
-// A sidecar whose wall clock the test steps. Server a started long ago.
+/// Runs a sidecar whose wall clock the test steps. Server a started long ago.
 struct ClockStepRig : NetRig {
-    Millis step = 0;  // of this machine's wall clock so far
+    /// The sum of the steps of this machine's wall clock.
+    Millis step = 0;
     Millis slow_start_window = 20 * kSecond;
 
-    // Whether the application, asking for much more than a cold server may have, has b serve a warm one's
-    // share. By chance a warm one gets about half of it, a cold one the token it may begin with.
+    /// Sends many more requests than a cold server may get, and returns whether b gets the share of a warm
+    /// one. A warm server gets about half of them, as the choice is random; a cold one only its initial
+    /// token.
     bool b_is_warm() {
         const std::size_t before = b.requests.size();
         TestClient& application = client();
@@ -40,9 +43,9 @@
             application.send(request("listen", "r" + std::to_string(next_request++)));
             until([&] { return application.answers.size() > i; });
         }
-        const std::size_t of_b = b.requests.size() - before;
-        EXPECT_TRUE(of_b <= 3 || of_b >= 10) << of_b;
-        return of_b >= 10;
+        const std::size_t served_by_b = b.requests.size() - before;
+        EXPECT_TRUE(served_by_b <= 3 || served_by_b >= 10) << served_by_b;
+        return served_by_b >= 10;
     }
     void start_stepped(const std::string& known) {
         std::string text = config_json(agent.address(), known);
@@ -53,24 +56,25 @@
         sidecar.emplace(io, std::move(config));
     }
     void start_with_warm_a() { start_stepped(started_list(41, true, {{listed_a, "0"}})); }
-    // Discovery answers the watch that is out, and the sidecar has taken it in.
+    /// Answers the call in flight to discovery, and waits until the sidecar has applied the list.
     void answer_watch(const std::string& list) {
         until([&] { return !agent.requests.empty() && agent.requests.size() > answered; });
         answered = agent.requests.size();
         send_list(list);
         until([&] { return agent.requests.size() > answered; });
     }
-    // Where `stepped` holds, the machines of the servers and of discovery have been stepped too.
+    /// Returns the wall-clock time of the servers and of discovery.
+    /// @param stepped  their clocks have been stepped too.
     Millis wall(bool stepped = true) const { return net::read_system_clock() + (stepped ? step : 0); }
     std::string b_started(int version, Millis at) {
         return started_list(version, false, {{listed_b, written_ms(at)}});
     }
-    void pass(Millis length) {
+    void wait_for(Millis length) {
         const auto end = std::chrono::steady_clock::now() + net::to_duration(length);
         until([&] { return std::chrono::steady_clock::now() >= end; });
     }
 
-    // By failures in each class, as each by itself shuns b at one.
+    /// Ejects b by failures in every request class, as outliers are detected per class.
     void eject_b() {
         b.script = [](const auto&) { return Reply{response("500 Internal Server Error")}; };
         const std::vector<std::string> classes{"listen", "annotate", "deposit"};
@@ -87,7 +91,7 @@
     int next_request = 0;
 };
 
-// Steps (ms) of the wall clock, and whether of all machines or of this one alone.
+/// A step (ms) of the wall clock, of all machines or only of this one.
 struct StepCase {
     Millis step;
     bool everywhere;
@@ -108,7 +112,7 @@
                                          StepCase{kHour, true}, StepCase{kHour, false}),
                          name_of);
 
-TEST_P(ClockSteps, BetweenAServersStartAndItsListingLeaveItAColdServersShare) {
+TEST_P(ClockSteps, ServerStartedBeforeAndListedAfterTheStepIsSlowStarted) {
     start_with_warm_a();
     answer_watch(list_json(42, false, {}));
     const Millis started = wall();
@@ -117,18 +121,18 @@
     EXPECT_FALSE(b_is_warm());
 }
 
-TEST_P(ClockSteps, BeforeAServersStartLeaveItAColdServersShareForItsWarmUpOfRealTime) {
+TEST_P(ClockSteps, ServerStartedAfterTheStepWarmsUpInRealTime) {
     slow_start_window = 800;
     start_with_warm_a();
     answer_watch(list_json(42, false, {}));
     step = GetParam().step;
     answer_watch(b_started(43, wall(GetParam().everywhere)));
     EXPECT_FALSE(b_is_warm());
-    pass(slow_start_window);
+    wait_for(slow_start_window);
     EXPECT_TRUE(b_is_warm());
 }
 
-TEST_P(ClockSteps, AfterAServersListingChangeNothingOfItsWarmUp) {
+TEST_P(ClockSteps, ServerListedBeforeTheStepKeepsItsWarmUp) {
     slow_start_window = 800;
     start_with_warm_a();
     answer_watch(list_json(42, false, {}));
@@ -137,12 +141,12 @@
     step = GetParam().step;
     answer_watch(started_list(44, true, {{listed_a, "0"}, {listed_b, written_ms(started)}}));
     EXPECT_FALSE(b_is_warm());
-    pass(slow_start_window);
+    wait_for(slow_start_window);
     answer_watch(started_list(45, true, {{listed_a, "0"}, {listed_b, written_ms(started)}}));
     EXPECT_TRUE(b_is_warm());
 }
 
-TEST_P(ClockSteps, BeforeTheFirstAnswerLeaveAJustStartedServerAColdServersShare) {
+TEST_P(ClockSteps, ServerInTheFirstResponseAfterTheStepIsSlowStarted) {
     start_with_warm_a();
     step = GetParam().step;
     answer_watch(
@@ -150,15 +154,16 @@
     EXPECT_FALSE(b_is_warm());
 }
 
-// The server's machine alone is behind by an hour, or its clock was stepped before this process began.
-TEST_F(ClockStepRig, AServerThatComesWhileWatchedIsNoOlderThanTheLastAnswer) {
+// The clock of the server's machine may be an hour behind, or may have been stepped before this process
+// started. The reported start then makes a cold server appear warm.
+TEST_F(ClockStepRig, ServerAddedToAWatchedListIsNoOlderThanTheLastResponse) {
     start_with_warm_a();
     answer_watch(list_json(42, false, {}));
     answer_watch(b_started(43, wall() - kHour));
     EXPECT_FALSE(b_is_warm());
 }
 
-TEST_F(ClockStepRig, AServerThatReturnsToTheListWithTheSameStartKeepsItsAge) {
+TEST_F(ClockStepRig, ServerListedAgainWithTheSameStartKeepsItsAge) {
     start_with_warm_a();
     const Millis started = wall() - kHour;
     answer_watch(started_list(42, true, {{listed_a, "0"}, {listed_b, written_ms(started)}}));
@@ -167,8 +172,9 @@
     EXPECT_TRUE(b_is_warm());
 }
 
-// Whoever discovery is there has a list of its own: its first answer may name servers that are old.
-TEST_F(ClockStepRig, TheFirstAnswerAfterDiscoveryHasMovedIsNoBoundForAges) {
+// Discovery at the new address has a list of its own, so its first response may name servers that started
+// long ago.
+TEST_F(ClockStepRig, FirstResponseFromANewDiscoveryAddressDoesNotBoundAges) {
     start_with_warm_a();
     answer_watch(list_json(42, false, {}));
     ScriptedServer other(io, silence);
@@ -180,7 +186,7 @@
     EXPECT_TRUE(b_is_warm());
 }
 
-TEST_F(ClockStepRig, ARestartAfterAStepBackStartsANewRecord) {
+TEST_F(ClockStepRig, ServerRestartAfterAStepBackClearsItsEjection) {
     start_stepped(started_list(41, true, {{listed_a, "0"}, {listed_b, written_ms(wall() - 2 * kHour)}}));
     answer_watch(list_json(42, false, {}));
     eject_b();
@@ -193,10 +199,11 @@
 
 // ---- Spans of time
 
-// The wall clock is stepped by an hour in the middle of them.
-struct StepsInTheMiddle : ClockStepRig, testing::WithParamInterface<Millis> {
-    // The time (ms) from the request, taken before the step, to its answer, which has that status.
-    Millis time_to(unsigned status, const std::string& bytes) {
+/// Steps the wall clock by an hour while a span of time runs.
+struct StepDuringATimeSpan : ClockStepRig, testing::WithParamInterface<Millis> {
+    /// Sends a request, steps the clock, and returns the time (ms) until the response, which must have the
+    /// status.
+    Millis time_to_response(unsigned status, const std::string& bytes) {
         const auto began = std::chrono::steady_clock::now();
         TestClient& application = client();
         application.send(bytes);
@@ -207,25 +214,25 @@
         return net::millis(std::chrono::steady_clock::now() - began);
     }
 };
-INSTANTIATE_TEST_SUITE_P(Each, StepsInTheMiddle, testing::Values(-kHour, kHour));
+INSTANTIATE_TEST_SUITE_P(Each, StepDuringATimeSpan, testing::Values(-kHour, kHour));
 
-TEST_P(StepsInTheMiddle, LeaveADeadlineItsRealTime) {
+TEST_P(StepDuringATimeSpan, DeadlineExpiresInRealTime) {
     start_with_warm_a();
     a.script = silence;
-    const Millis time = time_to(503, request("listen", "r1", 300));
+    const Millis time = time_to_response(503, request("listen", "r1", 300));
     EXPECT_GE(time, 300);
     EXPECT_LT(time, 1300);
 }
 
-TEST_P(StepsInTheMiddle, LeaveAHoldItsRealTime) {
+TEST_P(StepDuringATimeSpan, RequestHeldWithoutActiveServersIsRejectedInRealTime) {
     listed_a.state = "Terminating";
     start_with_warm_a();
-    const Millis time = time_to(503, request("listen", "r1"));
-    EXPECT_GE(time, 25);  // a sixteenth of the aim
+    const Millis time = time_to_response(503, request("listen", "r1"));
+    EXPECT_GE(time, 25);  // a sixteenth of the latency objective
     EXPECT_LT(time, 1025);
 }
 
-TEST_P(StepsInTheMiddle, EndNoEjection) {
+TEST_P(StepDuringATimeSpan, EjectionContinues) {
     start_stepped(started_list(41, true, {{listed_a, "0"}, {listed_b, "0"}}));
     eject_b();
     const std::size_t before = b.requests.size();
@@ -239,15 +246,18 @@
     EXPECT_EQ(b.requests.size(), before);
 }
 
-// ---- The dates themselves
+// ---- ServerStartTimes
 
-constexpr Millis kNow = 1'800'000'000'000;  // a time of the sidecar's
+/// A time on the sidecar's time line.
+constexpr Millis kNow = 1'800'000'000'000;
 using Moment = ServerStartTimes::Moment;
 
 Moment unwatched(Millis now, Millis step = 0) { return {now, now + step, {}}; }
-Moment watched(Millis now, Millis since_answer, Millis step = 0) { return {now, now + step, since_answer}; }
+Moment watched(Millis now, Millis since_response, Millis step = 0) {
+    return {now, now + step, since_response};
+}
 
-TEST(ServerStartTimes, AgesAreCarriedOnFromTheFirstSightWhateverTheWallClockDoes) {
+TEST(ServerStartTimes, StepsAfterTheFirstListingDoNotChangeTheStart) {
     ServerStartTimes times;
     EXPECT_EQ(times.start_of("s", kNow - 300, unwatched(kNow)).at, kNow - 300);
     for (const Millis step : {-kHour, -5 * kSecond, 5 * kSecond, kHour}) {
@@ -256,17 +266,17 @@
     }
 }
 
-TEST(ServerStartTimes, AgesAreTheLessOfWhatTheTwoClocksTell) {
+TEST(ServerStartTimes, UsesTheLesserAgeOfTheTwoClocks) {
     ServerStartTimes times;
     const Millis forward = 5 * kSecond;
     EXPECT_EQ(times.start_of("of this machine", kNow - 300, unwatched(kNow, forward)).at, kNow - 300);
     const auto of_all = times.start_of("of all", kNow + forward - 300, unwatched(kNow, forward));
     EXPECT_EQ(of_all.at, kNow);
-    EXPECT_TRUE(of_all.dated);
+    EXPECT_TRUE(of_all.is_dated);
     EXPECT_EQ(times.start_of("of all, back", kNow - forward - 300, unwatched(kNow, -forward)).at, kNow - 300);
 }
 
-TEST(ServerStartTimes, AChangeInEitherDirectionIsALaterStart) {
+TEST(ServerStartTimes, ReportChangedInEitherDirectionIsALaterStart) {
     ServerStartTimes times;
     Millis before = times.start_of("s", kNow - 2 * kHour, unwatched(kNow)).at;
     for (const Millis reported : {kNow - kHour, kNow - 3 * kHour, -5.0, kNow + kHour, kNow - kHour, kNow}) {
@@ -277,65 +287,66 @@
     }
 }
 
-TEST(ServerStartTimes, ZeroIsLongAgoAndTellsOfNoRestart) {
+TEST(ServerStartTimes, ZeroMeansLongAgoAndNoRestart) {
     ServerStartTimes times;
     EXPECT_EQ(times.start_of("s", 0, watched(kNow, 20)).at, 0);
     EXPECT_EQ(times.start_of("s", kNow, watched(kNow, 20)).at, kNow);
     EXPECT_EQ(times.start_of("s", 0, watched(kNow + 100, 20)).at, kNow);
 }
 
-TEST(ServerStartTimes, AnEarlierStartThanTheSavedListNamesIsTakenForOneJustNow) {
+TEST(ServerStartTimes, StartBeforeThatOfTheCachedListCountsAsJustNow) {
     ServerStartTimes times;
     times.start_of("s", kNow - kHour, unwatched(kNow - 10));
     const auto start = times.start_of("s", kNow - 2 * kHour, unwatched(kNow));
     EXPECT_EQ(start.at, kNow);
-    EXPECT_FALSE(start.dated);
+    EXPECT_FALSE(start.is_dated);
 }
 
-TEST(ServerStartTimes, WhatCannotBeRightIsTakenForJustNowAndToldOfOnce) {
+TEST(ServerStartTimes, ImplausibleStartCountsAsJustNowAndIsReportedOnce) {
     for (const Millis wrong :
          {-5.0, 1e300, -1e300, std::nan(""), HUGE_VAL, kNow + kHour, config::kUnreadableStart}) {
         ServerStartTimes times;
         const auto first = times.start_of("s", wrong, unwatched(kNow));
         EXPECT_EQ(first.at, kNow) << wrong;
-        EXPECT_TRUE(!first.dated && first.changed) << wrong;
+        EXPECT_TRUE(!first.is_dated && first.has_changed) << wrong;
         const auto again = times.start_of("s", wrong, watched(kNow + 1, 20));
-        EXPECT_TRUE(again.at == kNow && !again.changed) << wrong;
-        EXPECT_FALSE(times.start_of("s", -7, watched(kNow + 2, 20)).changed) << wrong;  // another wrong one
+        EXPECT_TRUE(again.at == kNow && !again.has_changed) << wrong;
+        // Another implausible report is not a change.
+        EXPECT_FALSE(times.start_of("s", -7, watched(kNow + 2, 20)).has_changed) << wrong;
         const auto right = times.start_of("s", kNow, watched(kNow + 3, 20));
-        EXPECT_TRUE(right.dated && right.changed) << wrong;
+        EXPECT_TRUE(right.is_dated && right.has_changed) << wrong;
     }
 }
 
-TEST(ServerStartTimes, AFewMillisecondsAheadAreNoNews) {
+TEST(ServerStartTimes, StartAFewMillisecondsAheadIsAccepted) {
     ServerStartTimes times;
     const auto start = times.start_of("s", kNow + 3, unwatched(kNow));
     EXPECT_EQ(start.at, kNow);
-    EXPECT_TRUE(start.dated && !start.changed);
+    EXPECT_TRUE(start.is_dated && !start.has_changed);
 }
 
-TEST(ServerStartTimes, OffTheListAreKeptForTenMinutes) {
+TEST(ServerStartTimes, KeepsUnlistedServersForTenMinutes) {
     ServerStartTimes times;
     times.start_of("back in time", kNow - kHour, unwatched(kNow));
     times.start_of("gone", kNow - kHour, unwatched(kNow));
-    times.unlisted("back in time", kNow);
-    times.unlisted("gone", kNow);
-    times.unlisted("never listed", kNow);
+    times.on_unlisted("back in time", kNow);
+    times.on_unlisted("gone", kNow);
+    times.on_unlisted("never listed", kNow);
     EXPECT_EQ(times.start_of("back in time", kNow - kHour, watched(kNow + 500 * kSecond, 20)).at,
               kNow - kHour);
     EXPECT_EQ(times.size(), 2U);
-    times.unlisted("another", kNow + 601 * kSecond);
+    times.on_unlisted("another", kNow + 601 * kSecond);
     EXPECT_EQ(times.size(), 1U);
 }
 
-// ---- Starts that can't be read
+// ---- Unreadable starts
 
-struct BadStarts : ClockStepRig, testing::WithParamInterface<const char*> {};
-INSTANTIATE_TEST_SUITE_P(Each, BadStarts,
+struct UnreadableStarts : ClockStepRig, testing::WithParamInterface<const char*> {};
+INSTANTIATE_TEST_SUITE_P(Each, UnreadableStarts,
                          testing::Values("-5", "1e300", "-1e300", "1e999", "-1E+400", "null", "\"noon\"",
                                          "true", "[1]", "{}"));
 
-TEST_P(BadStarts, AreTakenForStartsJustNowAndTheRestOfTheListIsTaken) {
+TEST_P(UnreadableStarts, CountAsJustNowAndTheOtherEntriesAreApplied) {
     start_with_warm_a();
     answer_watch(list_json(42, false, {}));
     ScriptedServer c(io, serve);
@@ -345,7 +356,7 @@
     EXPECT_TRUE(is_watched_from("43"));
 }
 
-TEST_P(BadStarts, OfTheListAtTheStartKeepNoSidecarFromServing) {
+TEST_P(UnreadableStarts, InTheCachedListDoNotPreventServing) {
     start_stepped(started_list(41, true, {{listed_a, "0"}, {listed_b, GetParam()}}));
     EXPECT_FALSE(b_is_warm());
 }
