--- a/src/node/server_start_times.hpp
+++ b/src/node/server_start_times.hpp
@@ -24,8 +24,8 @@
         Millis now = 0;
         /// Unix time by this machine's wall clock.
         Millis wall = 0;
-        /// The time since discovery's previous response. Absent: there is no previous response after which
-        /// the list has been watched without a gap.
+        /// The time since discovery's previous response. Absent: no response from the current address of
+        /// discovery had brought the list up to date before.
         std::optional<Millis> since_response{};
     };
 
