--- a/src/config/site.hpp
+++ b/src/config/site.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The settings of a deployment, read by their dotted paths: from the simulator's first message or from the
-/// sidecar's configuration.
+/// The settings of a deployment. The simulator's START message and the sidecar's configuration both provide
+/// them under the same dotted paths.
 #pragma once
 
 #include <cstdint>
@@ -15,22 +15,22 @@
 
 namespace mothring {
 
-/// What can't be read; what() names the place and the field.
+/// Reports a field that can't be read; what() names its location and the field.
 struct FieldError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-/// name=value pairs with typed access, which throws FieldError.
+/// Typed access to named fields. The accessors throw FieldError if a field is missing or invalid.
 class Fields {
 public:
     virtual ~Fields() = default;
-    /// None: the field is absent.
+    /// Returns the text of a field. None: the field is absent.
     virtual std::optional<std::string_view> find(std::string_view field) const = 0;
-    /// Where the pairs come from, for errors.
-    virtual std::string place() const = 0;
+    /// Returns the source of the fields, for error messages.
+    virtual std::string location() const = 0;
 
     /// Throws FieldError.
-    [[noreturn]] void fail(std::string_view field, std::string_view what) const;
+    [[noreturn]] void fail(std::string_view field, std::string_view reason) const;
 
     bool has(std::string_view field) const { return find(field).has_value(); }
     std::string_view text(std::string_view field) const;
@@ -40,19 +40,20 @@
     std::uint64_t integer_or(std::string_view field, std::uint64_t fallback) const;
     bool flag_or(std::string_view field, bool fallback) const;
 
-    /// The words that a field may have, and what they stand for.
+    /// The words that a field may have, with the value of each.
     template <class T>
     using Names = std::vector<std::pair<std::string_view, T>>;
+    /// Returns the value that `names` gives for the word in a field.
     template <class T>
     T named(std::string_view field, const Names<T>& names) const {
         const std::string_view word = text(field);
         for (const auto& [name, value] : names)
             if (name == word) return value;
-        fail(field, "is not a known word");
+        fail(field, "has an unknown value");
     }
 };
 
-/// The settings, and the names behind their integers.
+/// The settings, and the names that their integer identifiers stand for.
 struct Site {
     Settings settings;
     std::vector<std::string> zones;
@@ -60,10 +61,10 @@
     std::vector<std::string> classes;
     std::vector<std::string> tenants;
 
-    /// The number of a name; the next one where the name is new.
+    /// Returns the identifier of a name. A new name gets the next identifier.
     ZoneId zone(std::string_view name);
     KindId kind(std::string_view name);
-    /// The index of a name; out of range where it is not known.
+    /// Returns the index of a name; out of range if the name is unknown.
     std::uint32_t class_index(std::string_view name) const;
     std::uint32_t tenant_index(std::string_view name) const;
 };
--- a/src/wire/action_writer.cpp
+++ b/src/wire/action_writer.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-constexpr std::size_t kLongestNumber = 40;  // characters
-constexpr int kDecimals = 3;                // of a time in ms
+constexpr std::size_t kMaxNumberLength = 40;
+constexpr int kTimeDecimals = 3;  // of a time in milliseconds
 constexpr unsigned kHexDigitBits = 4;
 constexpr unsigned kHexDigitMask = 15;
 
 void append_number(std::string& line, double value) {
-    char buffer[kLongestNumber];
+    char buffer[kMaxNumberLength];
     const auto result =
-        std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::fixed, kDecimals);
+        std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::fixed, kTimeDecimals);
     line.append(buffer, result.ptr);
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-// Writes one action, without the end of the line.
+// Writes one action without the line break.
 class ActionWriter {
 public:
     ActionWriter(Instance& instance, std::string& reply) : instance_(instance), reply_(reply) {}
@@ -58,37 +58,37 @@
         instance_.end_request(action.id);
     }
     void operator()(const SetTimer& action) {
-        head("AFTER");
+        begin_action("AFTER");
         time("at-ms", action.at);
         reply_ += " nonce=" + std::to_string(action.token);
     }
     void operator()(const HealthCheck& action) {
-        head("ASK_LOAD");
+        begin_action("ASK_LOAD");
         server(action.server);
     }
     void operator()(const CloseIdleConnections& action) {
-        head("SHUT_IDLE");
+        begin_action("SHUT_IDLE");
         server(action.server);
     }
     void operator()(const SendToPeer& action) {
-        head("WRITE_PEER");
+        begin_action("WRITE_PEER");
         reply_ += " dst=" + (action.to ? std::to_string(*action.to) : std::string("all")) + " msg=";
         append_hex(reply_, action.bytes);
     }
     void operator()(const Subscribe& action) {
-        head("SUBSCRIBE");
+        begin_action("SUBSCRIBE");
         reply_ += action.active ? " active=1" : " active=0";
     }
     void operator()(const EndpointEjected& action) { print(action.server, "removed from the pool"); }
     void operator()(const EndpointRestored& action) { print(action.server, "restored after a trial"); }
 
 private:
-    void head(std::string_view kind) {
+    void begin_action(std::string_view kind) {
         reply_ += kind;
         reply_ += " who=" + instance_.name;
     }
     void request(std::string_view kind, RequestId id) {
-        head(kind);
+        begin_action(kind);
         reply_ += " rid=" + instance_.requests.at(id).name;
     }
     void server(ServerId id) { reply_ += " server=" + instance_.servers.at(id).name; }
@@ -99,7 +99,7 @@
         append_number(reply_, value);
     }
     void print(ServerId id, std::string_view words) {
-        head("PRINT");
+        begin_action("PRINT");
         reply_ += " words=" + instance_.servers.at(id).name + " ";
         reply_ += words;
     }
--- a/src/wire/action_writer.hpp
+++ b/src/wire/action_writer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The balancer's actions as lines to the simulator.
+/// Formatting of the balancer's actions as lines of the simulator's protocol.
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
 
 namespace mothring::wire {
 
-/// Appends the line of an action, and counts in the instance what the action begins or ends.
+/// Appends the line of an action to the reply, and updates the attempts in flight and the requests of the
+/// instance accordingly.
 void write_action(Instance& instance, const Action& action, std::string& reply);
 
 }  // namespace mothring::wire
--- a/src/wire/host.cpp
+++ b/src/wire/host.cpp
@@ -12,16 +12,16 @@
 
 namespace {
 
-constexpr int kExitUnreadable = 2;
+constexpr int kExitInvalidInput = 2;
 
 }  // namespace
 
 Host::Host(std::istream& input, std::ostream& output, std::ostream& errors)
-    : in_(input), out_(output), err_(errors) {}
+    : input_(input), output_(output), errors_(errors) {}
 
 bool Host::next_line(std::string& line) {
-    if (!std::getline(in_, line)) return false;
-    ++line_;
+    if (!std::getline(input_, line)) return false;
+    ++line_number_;
     return true;
 }
 
@@ -29,13 +29,13 @@
     try {
         std::string line;
         while (next_line(line)) {
-            const Message mark(line, line_);
-            if (mark.kind() != "MARK") mark.fail(mark.kind(), "stands where MARK is due");
+            const Message mark(line, line_number_);
+            if (mark.kind() != "MARK") mark.fail(mark.kind(), "was received instead of MARK");
             read_batch(mark);
         }
     } catch (const WireError& error) {
-        err_ << "mothring_adapter: " << error.what() << '\n';
-        return kExitUnreadable;
+        errors_ << "mothring_adapter: " << error.what() << '\n';
+        return kExitInvalidInput;
     }
     return 0;
 }
@@ -47,12 +47,13 @@
     std::string line;
     while (true) {
         if (!next_line(line))
-            throw WireError("line " + std::to_string(line_) + ": MARK: input ends before 'OVER_TO_YOU'");
-        const Message message(line, line_);
+            throw WireError("line " + std::to_string(line_number_) +
+                            ": MARK: input ends before 'OVER_TO_YOU'");
+        const Message message(line, line_number_);
         if (message.kind() == "OVER_TO_YOU") break;
         read_event(message);
     }
-    out_ << reply_ << "END frame=" << frame << '\n' << std::flush;
+    output_ << reply_ << "END frame=" << frame << '\n' << std::flush;
 }
 
 void Host::read_event(const Message& message) {
@@ -65,7 +66,7 @@
         start_instance(message);
         return;
     }
-    const EventReader reader = reader_of(kind);
+    const EventReader reader = find_reader(kind);
     if (!reader) {
         report_unknown_kind(kind);
         return;
@@ -75,7 +76,7 @@
     (this->*reader)(at->second, message);
 }
 
-Host::EventReader Host::reader_of(std::string_view kind) {
+Host::EventReader Host::find_reader(std::string_view kind) {
     static const std::map<std::string_view, EventReader> readers{
         {"POWER_OFF", &Host::stop_instance}, {"PEERS_KNOWN", &Host::read_list},
         {"ACCEPT", &Host::read_request},     {"HEAD_RECEIVED", &Host::read_response_start},
@@ -86,14 +87,14 @@
     return at == readers.end() ? nullptr : at->second;
 }
 
-// Once for each kind.
+// Reports each unknown kind only once.
 void Host::report_unknown_kind(std::string_view kind) {
     if (std::find(unknown_kinds_.begin(), unknown_kinds_.end(), kind) != unknown_kinds_.end()) return;
     unknown_kinds_.emplace_back(kind);
-    err_ << "mothring_adapter: line " << line_ << ": unknown event " << kind << " skipped\n";
+    errors_ << "mothring_adapter: line " << line_number_ << ": unknown event " << kind << " skipped\n";
 }
 
-// ---- Events of the host
+// Events of the host
 
 void Host::read_catalog(const Message& message) {
     const std::size_t number = read_catalog_number(message);
@@ -106,8 +107,8 @@
 CatalogEntry Host::read_catalog_entry() {
     std::string line;
     if (!next_line(line))
-        throw WireError("line " + std::to_string(line_) + ": CATALOG: input ends within 'items'");
-    const Message message(line, line_);
+        throw WireError("line " + std::to_string(line_number_) + ": CATALOG: input ends within 'items'");
+    const Message message(line, line_number_);
     if (message.kind() != "M") message.fail("items", "does not match the entries that follow");
     CatalogEntry entry;
     entry.server = message.text("server");
@@ -132,12 +133,12 @@
     try {
         const auto at = instances_.try_emplace(name, name, read_site(message), seed).first;
         handle(at->second, Started{});
-    } catch (const std::exception& error) {  // settings that can't be read or make no sense
+    } catch (const std::exception& error) {  // the settings can't be read or are invalid
         report_fault(name, error.what());
     }
 }
 
-// ---- Events of an instance
+// Events of an instance
 
 void Host::stop_instance(Instance& instance, const Message& /*message*/) {
     instances_.erase(instances_.find(instance.name));
@@ -149,11 +150,11 @@
         handle(instance, EndpointList{kind, {}});
         return;
     }
-    handle(instance, take_catalog(instance, message, kind));
-    instance.forget_gone_servers();
+    handle(instance, build_endpoint_list(instance, message, kind));
+    instance.remove_unused_servers();
 }
 
-EndpointList Host::take_catalog(Instance& instance, const Message& message, ListKind kind) {
+EndpointList Host::build_endpoint_list(Instance& instance, const Message& message, ListKind kind) {
     EndpointList list{kind, {}};
     const std::size_t number = read_catalog_number(message);
     if (kind != ListKind::incremental)
@@ -176,7 +177,7 @@
     if (message.has("realm")) arrived.tenant = instance.site.tenant_index(message.text("realm"));
     const std::string name(message.text("rid"));
     const auto [at, is_new] = instance.request_ids.try_emplace(name, instance.next_request);
-    if (!is_new) message.fail("rid", "was given before");
+    if (!is_new) message.fail("rid", "is already in use");
     arrived.id = at->second;
     instance.requests[instance.next_request++].name = name;
     handle(instance, arrived);
@@ -185,13 +186,13 @@
 void Host::read_response_start(Instance& instance, const Message& message) {
     const auto request = instance.request_ids.find(std::string(message.text("rid")));
     const auto attempt = static_cast<std::uint32_t>(message.integer("hop"));
-    if (request == instance.request_ids.end()) return;  // the instance has ended it meanwhile
+    if (request == instance.request_ids.end()) return;  // the instance has already ended the request
     handle(instance, ResponseStarted{request->second, attempt});
 }
 
 void Host::read_disconnect(Instance& instance, const Message& message) {
     const auto request = instance.request_ids.find(std::string(message.text("rid")));
-    if (request == instance.request_ids.end()) return;  // the instance has ended it meanwhile
+    if (request == instance.request_ids.end()) return;  // the instance has already ended the request
     const RequestId id = request->second;
     handle(instance, ClientDisconnected{id});
     instance.end_request(id);
@@ -211,12 +212,12 @@
     if (request.in_flight > 0) --request.in_flight;
     if (ended.request_ended) request.ended = true;
     handle(instance, ended);
-    instance.forget_if_over(ended.id);
+    instance.remove_request_if_finished(ended.id);
     if (server_at == instance.server_ids.end()) return;
     const ServerId server_id = server_at->second;
     Instance::Server& server = instance.servers.at(server_id);
     if (server.in_flight > 0) --server.in_flight;
-    instance.forget_if_gone(server_id);
+    instance.remove_server_if_unused(server_id);
 }
 
 void Host::read_timer(Instance& instance, const Message& message) {
@@ -236,7 +237,7 @@
     handle(instance, PeerMessage{sender, read_bytes(message, "msg")});
 }
 
-// ---- Actions
+// Actions
 
 void Host::handle(Instance& instance, const Event& event) {
     actions_.clear();
@@ -249,8 +250,8 @@
     for (const Action& action : actions_) write_action(instance, action, reply_);
 }
 
-void Host::report_fault(const std::string& instance_name, const char* what) {
-    reply_ += "FAULT who=" + instance_name + " words=" + what + "\n";
+void Host::report_fault(const std::string& instance_name, const char* reason) {
+    reply_ += "FAULT who=" + instance_name + " words=" + reason + "\n";
 }
 
 }  // namespace mothring::wire
--- a/src/wire/host.hpp
+++ b/src/wire/host.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The simulator's wire: runs one Balancer for each simulated sidecar. It decides nothing; the decisions are
-/// in src/policy/.
+/// The adapter between the simulator's line protocol and the balancer. It runs one Balancer for each
+/// simulated sidecar, and makes no load-balancing decisions itself; these are in src/policy/.
 #pragma once
 
 #include <array>
@@ -19,7 +19,7 @@
 
 namespace mothring::wire {
 
-/// A server in a list of the simulator's.
+/// A server in one of the simulator's server lists.
 struct CatalogEntry {
     std::string server;
     std::string zone;
@@ -29,23 +29,24 @@
     Millis started_at = 0;
 };
 
-/// Reads batches of events, and answers each with the actions that follow from it.
+/// Reads batches of events, and answers each batch with the actions that result from it.
 class Host {
 public:
-    /// All streams must outlive this.
+    /// @param input, output, errors  must outlive this.
     Host(std::istream& input, std::ostream& output, std::ostream& errors);
 
     /// Runs until the end of input.
-    /// @return the process's exit status.
+    /// @return the exit status of the process.
     int run();
 
 private:
-    static constexpr std::size_t kCatalogs = 16;
+    /// The number of server lists that the simulator can refer to.
+    static constexpr std::size_t kCatalogCount = 16;
 
-    /// Reads the event of one kind.
+    /// Reads an event of a certain kind and passes it to the instance.
     using EventReader = void (Host::*)(Instance&, const Message&);
-    /// Null: not known.
-    static EventReader reader_of(std::string_view kind);
+    /// Returns the reader for a kind of event, or null if the kind is unknown.
+    static EventReader find_reader(std::string_view kind);
 
     bool next_line(std::string& line);
     void read_batch(const Message& mark);
@@ -69,17 +70,17 @@
     void read_health_check(Instance& instance, const Message& message);
     void read_peer_message(Instance& instance, const Message& message);
 
-    EndpointList take_catalog(Instance& instance, const Message& message, ListKind kind);
+    EndpointList build_endpoint_list(Instance& instance, const Message& message, ListKind kind);
     void handle(Instance& instance, const Event& event);
-    void report_fault(const std::string& instance_name, const char* what);
+    void report_fault(const std::string& instance_name, const char* reason);
 
-    std::istream& in_;
-    std::ostream& out_;
-    std::ostream& err_;
-    std::size_t line_ = 0;
+    std::istream& input_;
+    std::ostream& output_;
+    std::ostream& errors_;
+    std::size_t line_number_ = 0;
     Millis now_ = 0;
     std::string reply_;
-    std::array<std::vector<CatalogEntry>, kCatalogs> catalogs_;
+    std::array<std::vector<CatalogEntry>, kCatalogCount> catalogs_;
     std::map<std::string, Instance, std::less<>> instances_;
     std::vector<std::string> unknown_kinds_;
     std::vector<Action> actions_;
--- a/src/wire/instance.cpp
+++ b/src/wire/instance.cpp
@@ -17,27 +17,27 @@
 void Instance::end_request(RequestId id) {
     const auto at = requests.find(id);
     if (at != requests.end()) at->second.ended = true;
-    forget_if_over(id);
+    remove_request_if_finished(id);
 }
 
-void Instance::forget_if_over(RequestId id) {
+void Instance::remove_request_if_finished(RequestId id) {
     const auto at = requests.find(id);
     if (at == requests.end() || !at->second.ended || at->second.in_flight > 0) return;
     request_ids.erase(at->second.name);
     requests.erase(at);
 }
 
-void Instance::forget_if_gone(ServerId id) {
+void Instance::remove_server_if_unused(ServerId id) {
     const auto at = servers.find(id);
     if (at == servers.end() || at->second.listed || at->second.in_flight > 0) return;
     server_ids.erase(at->second.name);
     servers.erase(at);
 }
 
-void Instance::forget_gone_servers() {
+void Instance::remove_unused_servers() {
     std::vector<ServerId> ids;
     for (const auto& [id, server] : servers) ids.push_back(id);
-    for (const ServerId id : ids) forget_if_gone(id);
+    for (const ServerId id : ids) remove_server_if_unused(id);
 }
 
 }  // namespace mothring::wire
--- a/src/wire/instance.hpp
+++ b/src/wire/instance.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One simulated sidecar.
+/// The state of one simulated sidecar.
 #pragma once
 
 #include <cstdint>
@@ -12,36 +12,36 @@
 
 namespace mothring::wire {
 
-/// A sidecar's balancer, and the names behind the integers that the balancer sees. The name of a request is
-/// held until the request and its attempts have ended, that of a server while it is listed or an attempt on
-/// it is in flight.
+/// The balancer of a sidecar, and the names that its integer identifiers stand for. The name of a request is
+/// stored until the request and its attempts have ended. The name of a server is stored while the server is
+/// listed or has an attempt in flight.
 struct Instance {
     struct Request {
         std::string name;
-        /// Attempts.
+        /// The number of attempts in flight.
         std::uint32_t in_flight = 0;
         bool ended = false;
     };
     struct Server {
         std::string name;
-        /// Attempts.
+        /// The number of attempts in flight.
         std::uint32_t in_flight = 0;
         bool listed = false;
     };
 
-    /// @param seed  of the balancer's random choices.
+    /// @param seed  for the balancer's random choices.
     Instance(std::string instance_name, Site instance_site, std::uint64_t seed);
 
-    /// The identifier of a server; a new one where its name is not known.
+    /// Returns the identifier of a server, and assigns one if the name is new.
     ServerId server_id(const std::string& server_name);
-    /// Marks a request as ended, and forgets it where it has no attempt in flight.
+    /// Marks a request as ended, and removes it if it has no attempt in flight.
     void end_request(RequestId id);
-    /// Forgets a request that has ended and has no attempt in flight.
-    void forget_if_over(RequestId id);
-    /// Forgets a server that is not listed and has no attempt in flight.
-    void forget_if_gone(ServerId id);
-    /// The same for all servers.
-    void forget_gone_servers();
+    /// Removes a request if it has ended and has no attempt in flight.
+    void remove_request_if_finished(RequestId id);
+    /// Removes a server if it is not listed and has no attempt in flight.
+    void remove_server_if_unused(ServerId id);
+    /// Removes all servers that are not listed and have no attempt in flight.
+    void remove_unused_servers();
 
     std::string name;
     Site site;
--- a/src/wire/main.cpp
+++ b/src/wire/main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The process that the simulator starts: the wire on standard input and output.
+/// The program that the simulator starts. It speaks the simulator's protocol on standard input and output.
 #include <iostream>
 
 #include "wire/host.hpp"
--- a/src/wire/message.cpp
+++ b/src/wire/message.cpp
@@ -10,19 +10,19 @@
 constexpr int kHexBase = 16;
 constexpr std::size_t kDigitsPerByte = 2;
 
-const Fields::Names<EndpointState> endpoint_states{
+const Fields::Names<EndpointState> endpoint_state_names{
     {"on", EndpointState::active}, {"fading", EndpointState::draining}, {"off", EndpointState::removed}};
-const Fields::Names<ListKind> list_kinds{{"INCREMENTAL", ListKind::incremental},
-                                         {"FULL", ListKind::full},
-                                         {"SAVED", ListKind::cached},
-                                         {"FAILED", ListKind::failed}};
-const Fields::Names<Outcome> outcomes{
+const Fields::Names<ListKind> list_kind_names{{"INCREMENTAL", ListKind::incremental},
+                                              {"FULL", ListKind::full},
+                                              {"SAVED", ListKind::cached},
+                                              {"FAILED", ListKind::failed}};
+const Fields::Names<Outcome> outcome_names{
     {"completed", Outcome::completed},         {"errored", Outcome::failed},
     {"saturated", Outcome::overloaded},        {"overdue", Outcome::timed_out},
     {"refused_conn", Outcome::connect_failed}, {"severed", Outcome::connection_lost},
     {"recalled", Outcome::cancelled},          {"superseded", Outcome::not_sent}};
 
-// Removes the text up to the next space, and the space, and returns the text.
+// Removes the next word and the space behind it from the text, and returns the word.
 std::string_view take_word(std::string_view& rest) {
     const auto space = rest.find(' ');
     const std::string_view word = rest.substr(0, space);
@@ -32,11 +32,11 @@
 
 }  // namespace
 
-Message::Message(std::string_view line, std::size_t number) : line_(number) {
+Message::Message(std::string_view line, std::size_t line_number) : line_number_(line_number) {
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
     std::string_view rest = line;
     kind_ = take_word(rest);
-    if (kind_.empty()) throw WireError("line " + std::to_string(line_) + ": empty line");
+    if (kind_.empty()) throw WireError("line " + std::to_string(line_number_) + ": empty line");
     while (!rest.empty()) {
         const std::string_view pair = take_word(rest);
         const auto equals = pair.find('=');
@@ -45,7 +45,9 @@
     }
 }
 
-std::string Message::place() const { return "line " + std::to_string(line_) + ": " + std::string(kind_); }
+std::string Message::location() const {
+    return "line " + std::to_string(line_number_) + ": " + std::string(kind_);
+}
 
 std::optional<std::string_view> Message::find(std::string_view field) const {
     for (const auto& [name, value] : fields_)
@@ -53,22 +55,25 @@
     return std::nullopt;
 }
 
-Outcome read_outcome(const Message& message) { return message.named("rc", outcomes); }
+Outcome read_outcome(const Message& message) { return message.named("rc", outcome_names); }
 
-ListKind read_list_kind(const Message& message) { return message.named("mode", list_kinds); }
+ListKind read_list_kind(const Message& message) { return message.named("mode", list_kind_names); }
 
-EndpointState read_endpoint_state(const Message& message) { return message.named("phase", endpoint_states); }
+EndpointState read_endpoint_state(const Message& message) {
+    return message.named("phase", endpoint_state_names);
+}
 
 std::vector<std::uint8_t> read_bytes(const Message& message, std::string_view field) {
     std::vector<std::uint8_t> bytes;
     const std::string_view digits = message.text(field);
     if (digits == "-") return bytes;
-    if (digits.size() % kDigitsPerByte != 0) message.fail(field, "is not hex");
+    if (digits.size() % kDigitsPerByte != 0) message.fail(field, "is not a sequence of hexadecimal bytes");
     for (std::size_t i = 0; i < digits.size(); i += kDigitsPerByte) {
         const char* const begin = digits.data() + i;
         std::uint8_t byte = 0;
         const auto [end, error] = std::from_chars(begin, begin + kDigitsPerByte, byte, kHexBase);
-        if (error != std::errc() || end != begin + kDigitsPerByte) message.fail(field, "is not hex");
+        if (error != std::errc() || end != begin + kDigitsPerByte)
+            message.fail(field, "is not a sequence of hexadecimal bytes");
         bytes.push_back(byte);
     }
     return bytes;
