--- a/tests/install_test.cmake
+++ b/tests/install_test.cmake
@@ -1,4 +1,5 @@
-# Installs the library, checks that just the public headers went along, and uses it from a project of its own.
+# Installs the library, checks that only the public headers are installed, and builds a separate project that uses
+# the installed package.
 file(REMOVE_RECURSE ${WORK})
 file(MAKE_DIRECTORY ${WORK}/app)
 function(run)
--- a/tests/layers_test.cmake
+++ b/tests/layers_test.cmake
@@ -1,6 +1,6 @@
 cmake_minimum_required(VERSION 3.20)
-# The layers: which folder of src/ may include headers of which others. An include of any other folder fails, and
-# so does a folder that the table does not have. Call with -DSOURCES=the folder src.
+# Checks the layers: the table below lists, for each folder of src/, the folders whose headers it may include. An
+# include of any other folder is an error, and so is a folder that the table lacks. -DSOURCES names the folder src.
 set(may_include_policy mothring)
 set(may_include_net mothring)
 set(may_include_cluster mothring net)
@@ -8,7 +8,7 @@
 set(may_include_node mothring net cluster config)
 set(may_include_wire mothring net config)
 set(may_include_lab mothring net cluster config)
-# The program itself: src/main.cpp.
+# src/main.cpp, the program itself.
 set(may_include_main mothring net config node)
 
 file(GLOB_RECURSE files RELATIVE ${SOURCES} ${SOURCES}/*.cpp ${SOURCES}/*.hpp)
@@ -19,14 +19,14 @@
 foreach(file IN LISTS files)
   string(REGEX MATCH "^[^/.]+" folder "${file}")
   if(NOT DEFINED may_include_${folder})
-    list(APPEND findings "${file}: the folder ${folder} is in no layer")
+    list(APPEND findings "${file}: the table of layers lacks the folder ${folder}")
     continue()
   endif()
   file(STRINGS ${SOURCES}/${file} includes REGEX "^ *# *include +\"")
   foreach(include IN LISTS includes)
     string(REGEX REPLACE "^[^\"]*\"([^\"]*)\".*" "\\1" header "${include}")
     if(NOT header MATCHES "/")
-      continue()  # a neighbour in the same folder
+      continue()  # a header in the same folder
     endif()
     string(REGEX MATCH "^[^/]+" included "${header}")
     if(NOT included STREQUAL folder AND NOT included IN_LIST may_include_${folder})
@@ -36,5 +36,5 @@
 endforeach()
 if(findings)
   list(JOIN findings "\n  " text)
-  message(FATAL_ERROR "against the layers:\n  ${text}")
+  message(FATAL_ERROR "includes that the layers do not allow:\n  ${text}")
 endif()
--- a/tests/line_width_test.cmake
+++ b/tests/line_width_test.cmake
@@ -1,8 +1,8 @@
-# The policy is printed and kept with the on-call notes: its lines must stay narrow, also those that the
-# formatter does not break.
+# Checks that no line in src/policy exceeds 110 columns, because its source is printed for the on-call notes. The
+# formatter alone does not ensure this, as it leaves some long lines unbroken.
 file(GLOB files ${POLICY}/*)
 if(NOT files)
-  message(FATAL_ERROR "no policy in ${POLICY}")
+  message(FATAL_ERROR "no sources in ${POLICY}")
 endif()
 foreach(file IN LISTS files)
   file(READ ${file} text)
@@ -14,7 +14,7 @@
   foreach(line IN LISTS lines)
     string(LENGTH "${line}" length)
     if(length GREATER 110)
-      message(FATAL_ERROR "${file}: a line of ${length} columns: ${line}")
+      message(FATAL_ERROR "${file}: a line has ${length} columns, more than 110: ${line}")
     endif()
   endforeach()
 endforeach()
--- a/tests/wall_clock_test.cmake
+++ b/tests/wall_clock_test.cmake
@@ -1,5 +1,5 @@
-# A wall clock may be stepped. Only src/net/clock.hpp reads it, for the ages of servers; deadlines, windows,
-# waits and graces are counted by the steady clock.
+# Checks that only src/net/clock.hpp reads a wall clock, which is used for the ages of servers. A wall clock may be
+# stepped, so deadlines, time windows, delays and grace periods must use the steady clock.
 set(wall_clocks "::system_clock|system_timer|deadline_timer|CLOCK_REALTIME|gettimeofday|std::time\\(|[^_]time\\((nullptr|NULL|0)\\)")
 set(count 0)
 foreach(part net config node policy cluster wire)
