--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -14,19 +14,19 @@
 
 constexpr int kHexBase = 16;
 
-[[noreturn]] void fail(const std::string& key, const std::string& what) {
-    throw ConfigError("'" + key + "' " + what);
+[[noreturn]] void fail(const std::string& key, const std::string& reason) {
+    throw ConfigError("'" + key + "' " + reason);
 }
 
 Json read_object(std::string_view text) {
     Json json = Json::parse(text, nullptr, false);
     if (json.is_discarded())
         json = Json::parse(without_overflowing_numbers(std::string(text)), nullptr, false);
-    if (!json.is_object()) throw ConfigError("no JSON object");
+    if (!json.is_object()) throw ConfigError("the text is not a JSON object");
     return json;
 }
 
-const Json& member(const Json& object, const char* key) {
+const Json& required_member(const Json& object, const char* key) {
     const auto at = object.find(key);
     if (at == object.end() || at->is_null()) fail(key, "is missing");
     return *at;
@@ -42,7 +42,7 @@
 }
 template <class T>
 T get(const Json& object, const char* key) {
-    return value<T>(member(object, key), key);
+    return value<T>(required_member(object, key), key);
 }
 template <class T>
 T get_or(const Json& object, const char* key, T fallback) {
@@ -50,86 +50,89 @@
 }
 
 template <class Protocol>
-typename Protocol::endpoint endpoint(const std::string& text, const std::string& key) {
-    const auto read = net::parse_endpoint<typename Protocol::endpoint>(text);
-    if (!read) fail(key, "is not ADDRESS:PORT");
-    return *read;
+typename Protocol::endpoint parse_endpoint(const std::string& text, const std::string& key) {
+    const auto endpoint = net::parse_endpoint<typename Protocol::endpoint>(text);
+    if (!endpoint) fail(key, "is not ADDRESS:PORT");
+    return *endpoint;
 }
 template <class Protocol>
 typename Protocol::endpoint get_endpoint(const Json& object, const char* key) {
-    return endpoint<Protocol>(get<std::string>(object, key), key);
+    return parse_endpoint<Protocol>(get<std::string>(object, key), key);
 }
 
-// The settings' nested JSON by the paths that the simulator's wire uses for them.
+// Gives access to the nested JSON settings by the dotted paths that the simulator's wire uses for the same
+// settings. An array of objects gets a "count" and numbered paths; an array of scalars is joined by commas.
 class JsonFields : public Fields {
 public:
-    explicit JsonFields(const Json& settings) { add(settings, ""); }
+    explicit JsonFields(const Json& settings) { flatten(settings, ""); }
     std::optional<std::string_view> find(std::string_view field) const override {
         const auto at = values_.find(field);
         return at == values_.end() ? std::nullopt : std::optional<std::string_view>(at->second);
     }
-    std::string place() const override { return "settings"; }
+    std::string location() const override { return "settings"; }
 
 private:
-    static std::string scalar(const Json& json) {
+    static std::string format_scalar(const Json& json) {
         return json.is_string() ? json.get<std::string>() : json.dump();
     }
-    void add(const Json& json, const std::string& path) {
+    void flatten(const Json& json, const std::string& path) {
         const std::string prefix = path.empty() ? "" : path + ".";
         if (json.is_object()) {
-            for (const auto& [key, item] : json.items()) add(item, prefix + key);
+            for (const auto& [key, item] : json.items()) flatten(item, prefix + key);
         } else if (json.is_array() && !json.empty() && json.front().is_object()) {
             values_[prefix + "count"] = std::to_string(json.size());
-            for (std::size_t i = 0; i < json.size(); ++i) add(json[i], prefix + std::to_string(i));
+            for (std::size_t i = 0; i < json.size(); ++i) flatten(json[i], prefix + std::to_string(i));
         } else if (json.is_array()) {
             std::string& list = values_[path];
             for (const Json& item : json) {
                 if (!list.empty()) list += ',';
-                list += scalar(item);
+                list += format_scalar(item);
             }
         } else if (!json.is_null()) {
-            values_[path] = scalar(json);
+            values_[path] = format_scalar(json);
         }
     }
     std::map<std::string, std::string, std::less<>> values_;
 };
 
-// A start that is no number costs its server its age, and not the others their list.
-Millis started(const Json& entry) {
+// Returns kUnreadableStart for a start time that is not a number, so that only the age of this server is lost
+// and the rest of the list stays usable.
+Millis read_start_time(const Json& entry) {
     const auto at = entry.find("started_ms");
     if (at == entry.end()) return 0;
     return at->is_number() ? at->get<Millis>() : kUnreadableStart;
 }
 
-// A state that is not known is handled as draining, the most careful: nothing new is sent there.
-EndpointState state_of(const std::string& word) {
+// Returns the state for discovery's word. An unknown word means draining, the safest state, because a
+// draining server gets no new requests.
+EndpointState parse_state(const std::string& word) {
     if (word == "Ready") return EndpointState::active;
     if (word == "Gone") return EndpointState::removed;
     return EndpointState::draining;
 }
 
-DiscoveredServer server(const Json& entry) {
+DiscoveredServer read_server(const Json& entry) {
     DiscoveredServer server;
     server.id = get<std::string>(entry, "id");
-    server.state = state_of(get<std::string>(entry, "state"));
+    server.state = parse_state(get<std::string>(entry, "state"));
     if (server.state != EndpointState::removed || entry.contains("addr"))
         server.address = get_endpoint<net::Tcp>(entry, "addr");
     server.zone = get_or<std::string>(entry, "zone", "");
     server.kind = get_or<std::string>(entry, "kind", "");
     server.cell = get_or<std::uint32_t>(entry, "cell", 0);
-    server.started = started(entry);
+    server.started = read_start_time(entry);
     return server;
 }
 
-DiscoveryList members(const Json& json) {
+DiscoveryList read_list(const Json& json) {
     DiscoveryList list;
     list.version = get<std::uint64_t>(json, "version");
     list.full = get<bool>(json, "full");
-    const Json& servers = member(json, "servers");
+    const Json& servers = required_member(json, "servers");
     if (!servers.is_array()) fail("servers", "has the wrong type");
     for (const Json& entry : servers) {
         if (!entry.is_object()) fail("servers", "has the wrong type");
-        list.members.push_back(server(entry));
+        list.members.push_back(read_server(entry));
     }
     return list;
 }
@@ -147,11 +150,13 @@
         config.connect_timeout = fields.number_or("limits.connect-timeout-ms", config.connect_timeout);
         config.idle_close = fields.number_or("limits.idle-close-ms", config.idle_close);
         config.drain_grace = fields.number_or("rules.stop-sending-within-ms", config.drain_grace);
-        Millis longest = 0;
+        Millis longest_deadline = 0;
         for (std::size_t i = 0; i < config.site.classes.size(); ++i)
-            longest = std::max(longest, fields.number_or("classes." + std::to_string(i) + ".give-up-ms", 0));
-        // Counted as 3 s where it is longer (PROTOCOL, "Figures"), and where it is not given.
-        if (longest > 0) config.longest_deadline = std::min(longest, config.longest_deadline);
+            longest_deadline = std::max(longest_deadline,
+                                        fields.number_or("classes." + std::to_string(i) + ".give-up-ms", 0));
+        // The platform counts deadlines over 3 s as 3 s; the default of 3 s also applies if no class has one.
+        if (longest_deadline > 0)
+            config.longest_deadline = std::min(longest_deadline, config.longest_deadline);
         config.may_probe = fields.flag_or("limits.may-probe", false);
         config.may_tell = fields.flag_or("limits.may-tell", false);
     } catch (const FieldError& error) {
@@ -178,18 +183,18 @@
     if (json.contains("peer_listen")) config.peer_listen = get_endpoint<net::Udp>(json, "peer_listen");
     if (json.contains("peers_all")) config.peers_all = get_endpoint<net::Udp>(json, "peers_all");
     for (const std::string& peer : get_or<std::vector<std::string>>(json, "peers", {}))
-        config.peers.push_back(endpoint<net::Udp>(peer, "peers"));
-    config.known = members(member(json, "known"));
-    const Json& settings = member(json, "settings");
+        config.peers.push_back(parse_endpoint<net::Udp>(peer, "peers"));
+    config.known = read_list(required_member(json, "known"));
+    const Json& settings = required_member(json, "settings");
     if (!settings.is_object()) fail("settings", "has the wrong type");
     read_settings(config, settings);
     return config;
 }
 
 net::Tcp::endpoint read_address(const std::string& text, const std::string& key) {
-    return endpoint<net::Tcp>(text, key);
+    return parse_endpoint<net::Tcp>(text, key);
 }
 
-DiscoveryList read_members(std::string_view json) { return members(read_object(json)); }
+DiscoveryList read_members(std::string_view json) { return read_list(read_object(json)); }
 
 }  // namespace mothring::config
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -12,17 +12,17 @@
 
 using Json = nlohmann::json;
 
-constexpr Millis kLeastPeriod = 10;
-constexpr Millis kMostPeriod = 60000;
-constexpr double kLeastSuspicion = 1;
-constexpr double kMostSuspicion = 100;
-constexpr unsigned kMostIndirect = 16;  // members asked to probe
-constexpr unsigned kMostRetransmit = 16;
-constexpr double kLeastLoadBound = 1;
-constexpr double kMostLoadBound = 1000;
+constexpr Millis kMinPeriod = 10;
+constexpr Millis kMaxPeriod = 60000;
+constexpr double kMinSuspicion = 1;
+constexpr double kMaxSuspicion = 100;
+constexpr unsigned kMaxIndirectProbes = 16;  // members that are asked to probe on behalf of one
+constexpr unsigned kMaxRetransmit = 16;
+constexpr double kMinLoadBound = 1;
+constexpr double kMaxLoadBound = 1000;
 
 template <class Endpoint>
-Json written_if(const std::optional<Endpoint>& endpoint) {
+Json endpoint_or_null(const std::optional<Endpoint>& endpoint) {
     return endpoint ? Json(net::format_endpoint(*endpoint)) : Json();
 }
 
@@ -32,7 +32,7 @@
 }
 
 template <class Endpoint>
-std::optional<Endpoint> address(TomlTable& table, const std::string& key) {
+std::optional<Endpoint> read_endpoint(TomlTable& table, const std::string& key) {
     const auto text = table.text(key);
     if (!text) return std::nullopt;
     auto endpoint = net::parse_endpoint<Endpoint>(*text);
@@ -40,18 +40,18 @@
     return endpoint;
 }
 
-// A path of the options file; where it is relative, it is so to the folder of that file.
-std::filesystem::path resolved(const std::filesystem::path& path, const std::filesystem::path& source) {
+// Resolves a relative path of the options file against the folder of that file.
+std::filesystem::path resolve(const std::filesystem::path& path, const std::filesystem::path& source) {
     return path.is_absolute() ? path : source.parent_path() / path;
 }
 
 void read_platform(Options& options, TomlTable& table) {
-    if (const auto path = table.text("config")) options.platform_config = resolved(*path, table.source());
+    if (const auto path = table.text("config")) options.platform_config = resolve(*path, table.source());
     table.done();
 }
 
 void read_sidecar(Options& options, TomlTable& table) {
-    options.operators = address<net::Tcp::endpoint>(table, "operator");
+    options.operators = read_endpoint<net::Tcp::endpoint>(table, "operator");
     table.number_into(options.clock_skew, "clock_skew_ms", -kMostSkew, kMostSkew);
     table.done();
 }
@@ -78,24 +78,24 @@
 }
 
 void read_affinity(Options& options, TomlTable& table) {
-    options.affinity_load_bound = table.number("bound", kLeastLoadBound, kMostLoadBound);
+    options.affinity_load_bound = table.number("bound", kMinLoadBound, kMaxLoadBound);
     for (TomlTable& rule : table.tables("rules")) options.affinity.push_back(read_affinity_rule(rule));
     table.done();
 }
 
 cluster::Settings::Route read_route(TomlTable& peer) {
     cluster::Settings::Route route;
-    route.udp = address<net::Udp::endpoint>(peer, "udp");
-    route.tcp = address<net::Tcp::endpoint>(peer, "tcp");
+    route.udp = read_endpoint<net::Udp::endpoint>(peer, "udp");
+    route.tcp = read_endpoint<net::Tcp::endpoint>(peer, "tcp");
     peer.done();
     return route;
 }
 
-// The key of the fleet: "key" wins over "key_file".
+// Returns the shared key of the fleet. "key" takes precedence over "key_file".
 std::string read_key(TomlTable& table) {
     std::string secret;
     if (const auto path = table.text("key_file")) {
-        secret = read_file(resolved(*path, table.source()), "'cluster.key_file'");
+        secret = read_file(resolve(*path, table.source()), "'cluster.key_file'");
         while (!secret.empty() && secret.back() == '\n') secret.pop_back();
     }
     const char* const key = table.has("key_file") ? "key_file" : "key";
@@ -108,10 +108,10 @@
 
 cluster::Settings read_cluster(TomlTable& table) {
     cluster::Settings settings;
-    const auto bind = address<net::Udp::endpoint>(table, "bind");
+    const auto bind = read_endpoint<net::Udp::endpoint>(table, "bind");
     if (!bind) table.fail("bind", "is missing");
     settings.bind = *bind;
-    const auto advertised = address<net::Tcp::endpoint>(table, "advertise");
+    const auto advertised = read_endpoint<net::Tcp::endpoint>(table, "advertise");
     if (advertised) settings.advertise = net::format_endpoint(*advertised);
     settings.key = read_key(table);
     for (const std::string& text : table.texts("seeds").value_or(std::vector<std::string>{})) {
@@ -120,10 +120,10 @@
         settings.seeds.push_back(*seed);
     }
     cluster::Parameters& parameters = settings.parameters;
-    table.number_into(parameters.period, "period_ms", kLeastPeriod, kMostPeriod);
-    table.number_into(parameters.suspicion_factor, "suspicion", kLeastSuspicion, kMostSuspicion);
-    table.integer_into(parameters.indirect_probes, "indirect", 0, kMostIndirect);
-    table.integer_into(parameters.retransmit_factor, "retransmit", 1, kMostRetransmit);
+    table.number_into(parameters.period, "period_ms", kMinPeriod, kMaxPeriod);
+    table.number_into(parameters.suspicion_factor, "suspicion", kMinSuspicion, kMaxSuspicion);
+    table.integer_into(parameters.indirect_probes, "indirect", 0, kMaxIndirectProbes);
+    table.integer_into(parameters.retransmit_factor, "retransmit", 1, kMaxRetransmit);
     for (TomlTable& peer : table.tables("peers")) {
         const auto name = peer.text("name");
         if (!name) peer.fail("name", "is missing");
@@ -176,7 +176,7 @@
 
 std::string describe(const Options& options) {
     const Json out = {{"log_level", level_name(options.log_level)},
-                      {"operator", written_if(options.operators)},
+                      {"operator", endpoint_or_null(options.operators)},
                       {"clock_skew_ms", options.clock_skew}};
     return out.dump(2);
 }
@@ -189,10 +189,10 @@
                       {"discovery", net::format_endpoint(config.discovery)},
                       {"seed", config.seed},
                       {"limits", {{"sockets", config.sockets}, {"memory_mb", config.memory_mb}}},
-                      {"operator", written_if(config.operators)},
-                      {"peer_listen", written_if(config.peer_listen)},
+                      {"operator", endpoint_or_null(config.operators)},
+                      {"peer_listen", endpoint_or_null(config.peer_listen)},
                       {"peers", peers},
-                      {"peers_all", written_if(config.peers_all)},
+                      {"peers_all", endpoint_or_null(config.peers_all)},
                       {"known_servers", config.known.members.size()},
                       {"zones", config.site.zones},
                       {"classes", config.site.classes},
--- a/src/config/overflowing_numbers.cpp
+++ b/src/config/overflowing_numbers.cpp
@@ -9,17 +9,18 @@
 
 using Json = nlohmann::json;
 
-constexpr int kMostNumbers = 16;
-constexpr int kNumberOverflow = 406;  // the library's number of that error
+constexpr int kMaxReplacements = 16;
+constexpr int kNumberOverflowErrorId = 406;  // the library's identifier of the error
 
-struct Place {
-    std::size_t begin = 0, end = 0;  // in the text
+// A range of byte offsets in the text.
+struct TextRange {
+    std::size_t begin = 0, end = 0;
 };
 
-/// Takes no value; remembers where a number was out of range.
+/// Parses without storing values, and records the position of a number out of range.
 class OverflowFinder : public nlohmann::json_sax<Json> {
 public:
-    std::optional<Place> found;
+    std::optional<TextRange> found;
 
     bool null() override { return true; }
     bool boolean(bool) override { return true; }
@@ -34,12 +35,12 @@
     bool start_array(std::size_t) override { return true; }
     bool end_array() override { return true; }
     bool parse_error(std::size_t end, const std::string& token, const Json::exception& error) override {
-        if (error.id == kNumberOverflow) found = Place{end - token.size(), end};
+        if (error.id == kNumberOverflowErrorId) found = TextRange{end - token.size(), end};
         return false;
     }
 };
 
-std::optional<Place> first_overflow(const std::string& text) {
+std::optional<TextRange> first_overflow(const std::string& text) {
     OverflowFinder finder;
     Json::sax_parse(text, &finder);
     return finder.found;
@@ -48,10 +49,10 @@
 }  // namespace
 
 std::string without_overflowing_numbers(std::string text) {
-    for (int i = 0; i < kMostNumbers; ++i) {
-        const auto place = first_overflow(text);
-        if (!place) break;
-        text.replace(place->begin, place->end - place->begin, "null");
+    for (int i = 0; i < kMaxReplacements; ++i) {
+        const auto range = first_overflow(text);
+        if (!range) break;
+        text.replace(range->begin, range->end - range->begin, "null");
     }
     return text;
 }
--- a/src/config/toml.cpp
+++ b/src/config/toml.cpp
@@ -10,21 +10,21 @@
 
 namespace {
 
-std::string where(const std::filesystem::path& source, const toml::source_region& region) {
+std::string format_location(const std::filesystem::path& source, const toml::source_region& region) {
     return source.string() + ":" + std::to_string(region.begin.line);
 }
 
-std::string figure(double value) {
+std::string format_number(double value) {
     std::ostringstream text;
     text << value;
     return text.str();
 }
 
-std::string range(double least, double most) {
+std::string format_range(double least, double most) {
     if (least == -TomlTable::kAnyNumber) return "";
     constexpr double kUnbounded = 1e15;
-    if (most >= kUnbounded) return " of at least " + figure(least);
-    return " from " + figure(least) + " to " + figure(most);
+    if (most >= kUnbounded) return " of at least " + format_number(least);
+    return " from " + format_number(least) + " to " + format_number(most);
 }
 
 }  // namespace
@@ -39,26 +39,26 @@
 toml::table parse_toml(std::string_view text, const std::filesystem::path& source) try {
     return toml::parse(text, source.string());
 } catch (const toml::parse_error& error) {
-    throw ConfigError(where(source, error.source()) + ": " + std::string(error.description()));
+    throw ConfigError(format_location(source, error.source()) + ": " + std::string(error.description()));
 }
 
 TomlTable::TomlTable(const toml::table& table, std::filesystem::path source, std::string path)
     : table_(&table), source_(std::move(source)), path_(std::move(path)) {}
 
 const toml::node* TomlTable::find(const std::string& key) {
-    asked_.insert(key);
+    read_keys_.insert(key);
     return table_->get(key);
 }
 
 void TomlTable::fail(const std::string& key, const std::string& reason) const {
     const toml::node* const node = table_->get(key);
-    throw ConfigError(where(source_, node ? node->source() : table_->source()) + ": '" + dotted(key) + "' " +
-                      reason);
+    throw ConfigError(format_location(source_, node ? node->source() : table_->source()) + ": '" +
+                      dotted(key) + "' " + reason);
 }
 
 void TomlTable::done() const {
     for (const auto& [key, node] : *table_)
-        if (!asked_.contains(key.str()))
+        if (!read_keys_.contains(key.str()))
             fail(std::string(key.str()), node.is_table() || node.is_array_of_tables() ? "is not a known table"
                                                                                       : "is not a known key");
 }
@@ -75,7 +75,7 @@
     if (!node) return std::nullopt;
     const std::optional<double> value = node->is_number() ? node->value<double>() : std::nullopt;
     if (!value || !std::isfinite(*value) || *value < least || *value > most)
-        fail(key, "expects a number" + range(least, most));
+        fail(key, "expects a number" + format_range(least, most));
     return value;
 }
 
@@ -86,7 +86,8 @@
     const auto* const value = node->as_integer();
     if (!value || value->get() < 0 || static_cast<std::uint64_t>(value->get()) < least ||
         static_cast<std::uint64_t>(value->get()) > most)
-        fail(key, "expects a whole number" + range(static_cast<double>(least), static_cast<double>(most)));
+        fail(key,
+             "expects a whole number" + format_range(static_cast<double>(least), static_cast<double>(most)));
     return static_cast<std::uint64_t>(value->get());
 }
 
