--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,4 +1,4 @@
-// The configuration, and the program as the platform starts and ends it.
+// Tests the configuration, and the program as the platform starts, signals and ends it.
 #include <fcntl.h>
 #include <sys/ptrace.h>
 #include <sys/resource.h>
@@ -14,11 +14,11 @@
 namespace mothring::node::test {
 namespace {
 
-const std::string good =
+const std::string valid_config =
     config_json("127.0.0.1:9", list_json(41, true, {{"s-a", "127.0.0.1:9", "Terminating"}}));
 
-TEST(Configuration, IsReadWithItsSettings) {
-    const config::Config config = config::read_config(good);
+TEST(Configuration, ReadsAddressesSettingsAndKnownServers) {
+    const config::Config config = config::read_config(valid_config);
     EXPECT_EQ(config.name, "n1");
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
     EXPECT_EQ(config.discovery.port(), 9);
@@ -36,26 +36,27 @@
     EXPECT_EQ(config.known.members[0].state, EndpointState::draining);
 }
 
-TEST(Configuration, NamesTheKeyThatIsWrong) {
+TEST(Configuration, ErrorNamesTheInvalidKey) {
     const std::vector<std::pair<std::string, std::string>> cases{
-        {replace_first(good, "\"seed\":\"8c", "\"seed\":\"xy"), "seed"},
-        {replace_first(good, "\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen"},
-        {replace_first(good, "\"listen\"", "\"unlisten\""), "listen"},
-        {replace_first(good, "\"name\":\"n1\"", "\"name\":7"), "name"},
-        {replace_first(good, "\"known\"", "\"unknown\""), "known"},
-        {replace_first(good, "\"effect\":\"once\"", "\"effect\":\"twice\""), "classes.1.effect"},
-        {replace_first(good, "\"on-time-ms\":300.0", "\"on-time-ms\":\"soon\""), "classes.1.on-time-ms"},
-        {replace_first(good, "\"settings\"", "\"unsettled\""), "settings"}};
+        {replace_first(valid_config, "\"seed\":\"8c", "\"seed\":\"xy"), "seed"},
+        {replace_first(valid_config, "\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen"},
+        {replace_first(valid_config, "\"listen\"", "\"unlisten\""), "listen"},
+        {replace_first(valid_config, "\"name\":\"n1\"", "\"name\":7"), "name"},
+        {replace_first(valid_config, "\"known\"", "\"unknown\""), "known"},
+        {replace_first(valid_config, "\"effect\":\"once\"", "\"effect\":\"twice\""), "classes.1.effect"},
+        {replace_first(valid_config, "\"on-time-ms\":300.0", "\"on-time-ms\":\"soon\""),
+         "classes.1.on-time-ms"},
+        {replace_first(valid_config, "\"settings\"", "\"unsettled\""), "settings"}};
     for (const auto& [text, key] : cases) try {
             config::read_config(text);
-            FAIL() << "taken: " << key;
+            FAIL() << "accepted although invalid: " << key;
         } catch (const config::ConfigError& error) {
             EXPECT_NE(std::string(error.what()).find("'" + key + "'"), std::string::npos) << error.what();
         }
     EXPECT_THROW(config::read_config("{\"name\""), config::ConfigError);
 }
 
-TEST(Options, NameTheKeyTheLineAndTheExpectedType) {
+TEST(Options, ErrorNamesTheKeyTheLineAndTheExpectedType) {
     const std::vector<std::pair<std::string, std::string>> cases{
         {"[log]\nlevel = 3\n", "o.toml:2: 'log.level' expects a string"},
         {"[log]\nlevel = \"loud\"\n", "o.toml:2: 'log.level' is not one of"},
@@ -72,7 +73,7 @@
         {"[log\n", "o.toml:1: "}};
     for (const auto& [text, expected] : cases) try {
             config::read_options(text, "o.toml");
-            FAIL() << "taken: " << text;
+            FAIL() << "accepted although invalid: " << text;
         } catch (const config::ConfigError& error) {
             EXPECT_EQ(std::string(error.what()).rfind(expected, 0), 0u) << error.what();
         }
@@ -83,11 +84,11 @@
     ASSERT_TRUE(options.operators);
     EXPECT_EQ(options.operators->port(), 7);
     EXPECT_EQ(options.log_level, net::LogLevel::debug);
-    EXPECT_EQ(config::read_options("", "o.toml").log_level, net::LogLevel::info);  // absent: today's
+    EXPECT_EQ(config::read_options("", "o.toml").log_level, net::LogLevel::info);  // the default
 }
 
-TEST_F(Program, EndsWithOneLineWhenItsConfigurationIsWrong) {
-    EXPECT_EQ(exit_status_of(start(replace_first(good, "\"seed\"", "\"unseeded\""))), 1);
+TEST_F(Program, ExitsWithOneLineOnAnInvalidConfiguration) {
+    EXPECT_EQ(exit_status_of(start(replace_first(valid_config, "\"seed\"", "\"unseeded\""))), 1);
     std::ifstream log(folder / "log");
     std::string line, more;
     std::getline(log, line);
@@ -95,7 +96,7 @@
     EXPECT_FALSE(std::getline(log, more)) << more;
 }
 
-TEST_F(Program, ChecksAConfigurationWithExitTwoNamingTheKey) {
+TEST_F(Program, CheckConfigExitsWithTwoAndNamesTheInvalidKey) {
     EXPECT_EQ(check_config("[sidecar]\noperator = 5\n"), 2);
     std::ifstream log(folder / "log");
     std::string line;
@@ -104,15 +105,15 @@
     EXPECT_EQ(check_config("[log]\nlevel = \"warn\"\n"), 0);
 }
 
-// Two processes of one sidecar, beside clients that ask without a pause.
-struct Upgrade : Program {
+// Runs several processes of one sidecar on the same port, while clients send requests without a pause.
+struct ProgramHotRestart : Program {
     asio::io_context io;
     ScriptedServer server{io, [](const auto&) { return Reply{response("200 OK", "served")}; }};
     ScriptedServer agent{io, [](const auto&) { return Reply{}; }};
     net::Tcp::endpoint listen = free_address();
     std::vector<pid_t> children;
 
-    ~Upgrade() override {
+    ~ProgramHotRestart() override {
         for (const pid_t child : children)
             if (child > 0) ::kill(child, SIGKILL), ::waitpid(child, nullptr, 0);
     }
@@ -120,7 +121,7 @@
         std::size_t index;
         net::Tcp::endpoint operators;
     };
-    Process begin(const std::string& log = "log") {
+    Process start_and_wait(const std::string& log = "log") {
         const net::Tcp::endpoint operators = free_address();
         const auto text = [](const net::Tcp::endpoint& at) {
             return "127.0.0.1:" + std::to_string(at.port());
@@ -134,37 +135,40 @@
         run_until(io, [&] { return status(process, "/ready") == 200; });
         return process;
     }
-    TestClient::Answer call(const Process& process, const std::string& path) {
+    TestClient::Answer get(const Process& process, const std::string& path) {
         try {
             TestClient caller(io, process.operators);
             caller.send("GET " + path + " HTTP/1.1\r\nHost: ops\r\n\r\n");
             run_until(io, [&] { return caller.ended; });
             return caller.answers.empty() ? TestClient::Answer{} : caller.answers.front();
         } catch (const boost::system::system_error&) {
-            return {};  // not up, or no more
+            return {};  // the process does not listen
         }
     }
     unsigned status(const Process& process, const std::string& path) {
-        const auto answer = call(process, path);
+        const auto answer = get(process, path);
         return answer[http::field::server].empty() && answer.body().empty() ? 0 : answer.result_int();
     }
-    std::string metrics(const Process& process) { return call(process, "/metrics").body(); }
-    bool ended(const Process& process) {
+    std::string metrics(const Process& process) { return get(process, "/metrics").body(); }
+    bool has_ended(const Process& process) {
         pid_t& child = children[process.index];
         if (child > 0 && ::waitpid(child, nullptr, WNOHANG) == child) child = 0;
         return child == 0;
     }
     void end(const Process& process, int signal) {
-        ASSERT_GT(children[process.index], 0) << "it has ended";  // else the signal would go to others
+        // After the end of the process its entry is 0, with which kill() would signal the test itself.
+        ASSERT_GT(children[process.index], 0) << "the process has ended";
         ::kill(children[process.index], signal);
-        run_until(io, [&] { return (signal == SIGKILL || (turn(), true)) && ended(process); });
+        run_until(io, [&] { return (signal == SIGKILL || (advance_clients(), true)) && has_ended(process); });
     }
 
-    // One request each is always out; `lost` counts connections that ended without the answer owed.
-    std::list<TestClient> asking;
-    std::size_t asked = 0, answered = 0, lost = 0;
-    void turn() {
-        for (auto c = asking.begin(); c != asking.end();) {
+    // Each client always has one request in flight. `lost` counts connections that ended without the
+    // response.
+    std::list<TestClient> clients;
+    std::size_t sent = 0, answered = 0, lost = 0;
+    // Sends the next request of each client that has its response, and replaces closed connections.
+    void advance_clients() {
+        for (auto c = clients.begin(); c != clients.end();) {
             if (c->answers.empty() && !c->ended) {
                 ++c;
                 continue;
@@ -173,73 +177,73 @@
                 ++lost;
             else
                 answered += c->answers.front().result_int() == 200;
-            if (!c->answers.empty() && c->answers.front().keep_alive() && asked % 50 != 0) {
+            if (!c->answers.empty() && c->answers.front().keep_alive() && sent % 50 != 0) {
                 c->answers.clear();
-                c->send(request("deposit", "id-" + std::to_string(asked++)));
+                c->send(request("deposit", "id-" + std::to_string(sent++)));
                 ++c;
             } else {
-                c = asking.erase(c);
+                c = clients.erase(c);
             }
         }
-        while (asking.size() < 6) {
-            asking.emplace_back(io, listen);
-            asking.back().send(request("deposit", "id-" + std::to_string(asked++)));
+        while (clients.size() < 6) {
+            clients.emplace_back(io, listen);
+            clients.back().send(request("deposit", "id-" + std::to_string(sent++)));
         }
     }
-    void serve(std::size_t more) {
-        const std::size_t enough = answered + more;
-        run_until(io, [&] { return turn(), answered >= enough; });
+    void run_until_answered(std::size_t count) {
+        const std::size_t target = answered + count;
+        run_until(io, [&] { return advance_clients(), answered >= target; });
     }
     void expect_nothing_lost() {
         EXPECT_EQ(lost, 0u);
-        EXPECT_EQ(answered, asked - asking.size());
-        EXPECT_EQ(server.requests.size() + asking.size() >= asked, true);
+        EXPECT_EQ(answered, sent - clients.size());
+        EXPECT_EQ(server.requests.size() + clients.size() >= sent, true);
     }
 };
 
-TEST_F(Upgrade, ASecondProcessTakesOverAndNothingIsLost) {
-    const Process first = begin();
-    serve(200);
-    const Process second = begin();
-    serve(200);
+TEST_F(ProgramHotRestart, SecondProcessTakesOverWithoutLosingRequests) {
+    const Process first = start_and_wait();
+    run_until_answered(200);
+    const Process second = start_and_wait();
+    run_until_answered(200);
     EXPECT_EQ(metrics(second).find("\"served\":0,\"refused\":0,\"failed\":0},\"annotate\""),
               std::string::npos)
-        << "new connections go to the second: " << metrics(second);
+        << "the second process must get new connections: " << metrics(second);
     end(first, SIGTERM);
-    serve(200);
+    run_until_answered(200);
     expect_nothing_lost();
-    const Process third = begin();  // and once more
+    const Process third = start_and_wait();
     end(second, SIGTERM);
-    serve(100);
+    run_until_answered(100);
     expect_nothing_lost();
     EXPECT_EQ(status(third, "/ready"), 200u);
 }
 
-TEST_F(Upgrade, WhicheverDiesOutrightTheOtherServesInFull) {
-    const Process first = begin();
-    const Process second = begin();
+TEST_F(ProgramHotRestart, EitherProcessServesAfterTheOtherIsKilled) {
+    const Process first = start_and_wait();
+    const Process second = start_and_wait();
     end(second, SIGKILL);
-    asking.clear(), asked = answered = lost = 0;
-    serve(100);
+    clients.clear(), sent = answered = lost = 0;
+    run_until_answered(100);
     expect_nothing_lost();
-    const Process third = begin();
+    const Process third = start_and_wait();
     end(first, SIGKILL);
-    asking.clear(), asked = answered = lost = 0;
-    serve(100);
+    clients.clear(), sent = answered = lost = 0;
+    run_until_answered(100);
     expect_nothing_lost();
     EXPECT_EQ(status(third, "/ready"), 200u);
 }
 
-// The folder for the lock is missing when both start: neither may take the whole of the limits, nor may
-// either once the folder is there and they see each other.
-TEST_F(Upgrade, ProcessesThatCannotHaveTheirLockTakeHalfUntilOneIsAlone) {
+// Guards against two processes that both use the full resource limits. The folder for the lock is missing
+// when they start, so that neither can detect the other; once the folder exists, both detect that they share.
+TEST_F(ProgramHotRestart, ProcessesWithoutALockUseHalfTheLimitsUntilOneIsAlone) {
     temporary_folder = folder / "later";
-    const Process first = begin("first"), second = begin("second");
+    const Process first = start_and_wait("first"), second = start_and_wait("second");
     run_until(io, [&] {
         return count_logged("first", "hot_restart.unknown") == 1 &&
                count_logged("second", "hot_restart.unknown") == 1;
     });
-    serve(50);
+    run_until_answered(50);
     std::filesystem::create_directory(temporary_folder);
     run_until(io, [&] {
         return count_logged("first", "hot_restart.shared") == 1 &&
@@ -248,17 +252,18 @@
     EXPECT_EQ(count_logged("first", "hot_restart.alone") + count_logged("second", "hot_restart.alone"), 0u);
     EXPECT_EQ(count_logged("first", "hot_restart.unknown") + count_logged("second", "hot_restart.unknown"),
               2u)
-        << "a line for each change, not for each look";
+        << "one line per change, not one per check";
     end(first, SIGTERM);
-    run_until(io, [&] { return turn(), count_logged("second", "hot_restart.alone") == 1; });
-    serve(50);
+    run_until(io, [&] { return advance_clients(), count_logged("second", "hot_restart.alone") == 1; });
+    run_until_answered(50);
     expect_nothing_lost();
     EXPECT_EQ(status(second, "/ready"), 200u);
 }
 
-// Discovery is down while idle clients, who never go by themselves, take all that clients may have, some with
-// bytes of a further request that stay unread. The process is held to the descriptors that it was told of.
-TEST_F(Upgrade, IdleClientsTakeNoDescriptorFromDiscoveryOrNewcomers) {
+// Guards against idle clients that use up the descriptors for discovery and new connections. Discovery is
+// down while idle clients that never disconnect fill the connection limit, some with unread bytes of a second
+// request. The kernel limits the process to the number of descriptors in its configuration.
+TEST_F(ProgramHotRestart, IdleClientsLeaveDescriptorsForDiscoveryAndNewConnections) {
     const net::Tcp::endpoint discovery = agent.endpoint(), operators = free_address();
     agent.close();
     const auto text = [](const net::Tcp::endpoint& at) { return "127.0.0.1:" + std::to_string(at.port()); };
@@ -269,29 +274,31 @@
     run_until(io, [&] { return status(process, "/ready") == 200; });
     const rlimit limit{256, 256};
     ASSERT_EQ(::prlimit(children[0], RLIMIT_NOFILE, &limit, nullptr), 0);
-    std::list<net::Tcp::socket> idle;
+    std::list<net::Tcp::socket> idle_clients;
     for (int i = 0; i < 300; ++i) {
-        idle.emplace_back(io).connect(listen);
-        const std::string whole = request("listen", "id-" + std::to_string(i));
-        asio::write(idle.back(), asio::buffer(i % 3 == 0 ? whole + whole.substr(0, 30) : whole));
+        idle_clients.emplace_back(io).connect(listen);
+        const std::string complete = request("listen", "id-" + std::to_string(i));
+        asio::write(idle_clients.back(),
+                    asio::buffer(i % 3 == 0 ? complete + complete.substr(0, 30) : complete));
     }
     run_until(io, [&] { return server.requests.size() >= 116; });
-    const auto came = std::chrono::steady_clock::now();
-    TestClient newcomer(io, listen);
-    newcomer.send(request("listen", "id-new"));
-    run_until(io, [&] { return !newcomer.answers.empty() || newcomer.ended; });
-    EXPECT_EQ(newcomer.answers.size(), 1u);
-    EXPECT_LE(std::chrono::steady_clock::now() - came, std::chrono::seconds(3));
-    ScriptedServer back(
+    const auto connected_at = std::chrono::steady_clock::now();
+    TestClient new_client(io, listen);
+    new_client.send(request("listen", "id-new"));
+    run_until(io, [&] { return !new_client.answers.empty() || new_client.ended; });
+    EXPECT_EQ(new_client.answers.size(), 1u);
+    EXPECT_LE(std::chrono::steady_clock::now() - connected_at, std::chrono::seconds(3));
+    ScriptedServer restarted_discovery(
         io, [](const auto&) { return Reply{}; }, discovery);
-    run_until(io, [&] { return !back.requests.empty(); });
+    run_until(io, [&] { return !restarted_discovery.requests.empty(); });
     EXPECT_EQ(status(process, "/ready"), 200u);
-    back.send(0, response("200 OK", list_json(2, false, {{"s-a", server.address(), "Terminating"}})));
-    run_until(io, [&] { return back.requests.size() == 2; });
-    EXPECT_FALSE(ended(process));
+    restarted_discovery.send(
+        0, response("200 OK", list_json(2, false, {{"s-a", server.address(), "Terminating"}})));
+    run_until(io, [&] { return restarted_discovery.requests.size() == 2; });
+    EXPECT_FALSE(has_ended(process));
 }
 
-TEST_F(Upgrade, WithoutAnOperatorAddressASecondStartFails) {
+TEST_F(ProgramHotRestart, SecondStartFailsWithoutAnOperatorAddress) {
     const std::string config = config_json(agent.address(), list_json(1, true, {{"s-a", server.address()}}),
                                            "1024", "127.0.0.1:" + std::to_string(listen.port()));
     children.push_back(start(config));
@@ -299,20 +306,21 @@
     EXPECT_EQ(exit_status_of(start(config)), 1);
 }
 
-TEST_F(Upgrade, AnOperatorAddressThatCannotBeHadIsSaidAtTheStart) {
-    net::Tcp::acceptor taken(io, any_port);
+TEST_F(ProgramHotRestart, StartFailsIfTheOperatorAddressIsInUseOrInvalid) {
+    net::Tcp::acceptor port_holder(io, any_port);
     EXPECT_EQ(exit_status_of(start(replace_first(
-                  good, "\"future\":[1]",
-                  "\"operator\":\"127.0.0.1:" + std::to_string(taken.local_endpoint().port()) + "\""))),
+                  valid_config, "\"future\":[1]",
+                  "\"operator\":\"127.0.0.1:" + std::to_string(port_holder.local_endpoint().port()) + "\""))),
               1);
     std::ifstream log(folder / "log");
     std::string line;
     std::getline(log, line);
     EXPECT_NE(line.find("'operator'"), std::string::npos) << line;
-    EXPECT_EQ(exit_status_of(start(replace_first(good, "\"future\":[1]", "\"operator\":\"there\""))), 1);
+    EXPECT_EQ(exit_status_of(start(replace_first(valid_config, "\"future\":[1]", "\"operator\":\"there\""))),
+              1);
 }
 
-TEST_F(Program, FinishesItsWorkOnSigtermAndExitsWithZero) {
+TEST_F(Program, CompletesRequestsInFlightOnSigtermAndExitsWithZero) {
     asio::io_context io;
     ScriptedServer server(io, [](const auto&) { return Reply{}; });
     const net::Tcp::endpoint listen = free_address();
@@ -324,11 +332,11 @@
             client.emplace(io, listen);
             return true;
         } catch (const boost::system::system_error&) {
-            return false;  // not up yet
+            return false;  // the process does not listen yet
         }
     });
     client->send(request("listen", "id-1"));
-    const auto held = [&] {
+    const auto is_held_by_server = [&] {
         for (std::size_t i = 0; i < server.connections.size(); ++i)
             if (const auto& c = server.connections[i]; c->requests > 0 && !c->ended) {
                 for (const auto& r : server.requests)
@@ -336,30 +344,30 @@
             }
         return false;
     };
-    run_until(io, held);
+    run_until(io, is_held_by_server);
     ::kill(child, SIGTERM);
     std::optional<TestClient> late;
     late.emplace(io, listen);
     late->send("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-    run_until(io, [&] { return late->ended; });  // answered with the connection's end: it drains
+    // A draining sidecar closes the connection after the response.
+    run_until(io, [&] { return late->ended; });
     EXPECT_EQ(late->answers.size(), 1u);
-    for (std::size_t i = 0; i < server.connections.size(); ++i)  // the agent's and the server's alike
-        server.send(i, response("200 OK", "held"));
+    // The server gets both the discovery call and the client's request, and sends the response to both.
+    for (std::size_t i = 0; i < server.connections.size(); ++i) server.send(i, response("200 OK", "held"));
     run_until(io, [&] { return client->ended; });
     ASSERT_EQ(client->answers.size(), 1u);
     EXPECT_EQ(client->answers[0].body(), "held");
     EXPECT_EQ(exit_status_of(child), 0);
 }
 
-// Lets a child that has asked to be traced run until it has begun to listen; false: it has not, and has
-// ended.
-bool runs_until_it_listens(pid_t child) {
-    constexpr int kMostCalls = 100000;  // of the system, by a start: some hundreds
+// Runs a traced child until it has begun to listen. Returns false if the child ended before.
+bool run_until_it_listens(pid_t child) {
+    constexpr int kMaxSystemCalls = 100000;  // a start makes some hundreds
     int status = 0;
-    if (::waitpid(child, &status, 0) != child || !WIFSTOPPED(status)) return false;  // at its exec
+    if (::waitpid(child, &status, 0) != child || !WIFSTOPPED(status)) return false;  // stopped at exec
     ::ptrace(PTRACE_SETOPTIONS, child, nullptr, PTRACE_O_EXITKILL | PTRACE_O_TRACESYSGOOD);
     bool listening = false;
-    for (int calls = 0; calls < kMostCalls; ++calls) {
+    for (int calls = 0; calls < kMaxSystemCalls; ++calls) {
         if (::ptrace(PTRACE_SYSCALL, child, nullptr, nullptr) != 0) return false;
         if (::waitpid(child, &status, 0) != child || !WIFSTOPPED(status)) return false;
         __ptrace_syscall_info call{};
@@ -370,15 +378,17 @@
     return false;
 }
 
-// It has begun to listen, and there it stands until the test has sent its signals.
-TEST_F(Program, ASignalRightAfterItListensIsNotItsEnd) {
+// Guards against signal handlers that are installed after the first socket listens. The process is stopped
+// right after listen() until the test has sent its signals; without handlers, their default action ends the
+// process.
+TEST_F(Program, SurvivesSignalsRightAfterItListens) {
     asio::io_context io;
     ScriptedServer agent(io, [](const auto&) { return Reply{}; });
     const net::Tcp::endpoint listen = free_address();
     const pid_t child = start_with(config_json(agent.address(), list_json(1, true, {}), "1024",
                                                "127.0.0.1:" + std::to_string(listen.port())),
                                    [] { return ::ptrace(PTRACE_TRACEME, 0, nullptr, nullptr) == 0; });
-    ASSERT_TRUE(runs_until_it_listens(child));
+    ASSERT_TRUE(run_until_it_listens(child));
     net::Tcp::socket client(io);
     client.connect(listen);
     ::kill(child, SIGHUP);
@@ -391,78 +401,81 @@
     EXPECT_EQ(WEXITSTATUS(status), 0);
 }
 
-// The program with its log going to somebody who reads it or not.
-struct Logging : Program {
+// Runs the program with standard error connected to a pipe, socket or file that may be full or closed.
+struct ProgramLogging : Program {
     asio::io_context io;
     ScriptedServer server{io, [](const auto&) { return Reply{response("200 OK", "served")}; }};
     ScriptedServer agent{io, [](const auto&) { return Reply{}; }};
     const net::Tcp::endpoint listen = free_address();
-    std::array<int, 2> ends{-1, -1};  // the reader's, and the program's
+    std::array<int, 2> ends{-1, -1};  // the end that is read, and the end that the program writes to
     pid_t child = -1;
 
-    ~Logging() override {
+    ~ProgramLogging() override {
         if (child > 0) ::kill(child, SIGKILL), ::waitpid(child, nullptr, 0);
         for (const int end : ends) ::close(end);
     }
     void open_pipe() { ASSERT_EQ(::pipe2(ends.data(), O_CLOEXEC), 0); }
     void open_sockets() { ASSERT_EQ(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends.data()), 0); }
-    // Until there is no room for a byte more; the program finds it blocking, as it would be.
+    // Writes until the pipe or socket has no free space. It is set to blocking afterwards, as is usual for
+    // the standard error that a process inherits.
     void fill() {
         ::fcntl(ends[1], F_SETFL, O_NONBLOCK);
-        const std::string many(4096, 'x');
-        for (const std::size_t size : {many.size(), std::size_t{1}})
-            while (::write(ends[1], many.data(), size) > 0) {
+        const std::string block(4096, 'x');
+        for (const std::size_t size : {block.size(), std::size_t{1}})
+            while (::write(ends[1], block.data(), size) > 0) {
             }
         ::fcntl(ends[1], F_SETFL, 0);
     }
-    void begin(const std::function<bool()>& set_up) {
+    void start_program(const std::function<bool()>& set_up) {
         child = start_with(config_json(agent.address(), list_json(1, true, {{"s-a", server.address()}}),
                                        "1024", "127.0.0.1:" + std::to_string(listen.port())),
                            set_up);
     }
-    void begin_with_pipe() {
-        begin([this] { return ::dup2(ends[1], STDERR_FILENO) == STDERR_FILENO; });
+    void start_with_log_to_pipe() {
+        start_program([this] { return ::dup2(ends[1], STDERR_FILENO) == STDERR_FILENO; });
     }
-    void expect_it_serves() {
+    void expect_served_request() {
         std::optional<TestClient> client;
         run_until(io, [&] {
             try {
                 client.emplace(io, listen);
-            } catch (const boost::system::system_error&) {  // not up yet
+            } catch (const boost::system::system_error&) {  // the process does not listen yet
             }
-            return client || ended();
+            return client || has_ended();
         });
-        ASSERT_TRUE(client) << "it has ended";
+        ASSERT_TRUE(client) << "the process has ended";
         client->send(request("deposit", "id-" + std::to_string(server.requests.size())));
         run_until(io, [&] { return !client->answers.empty() || client->ended; });
         ASSERT_EQ(client->answers.size(), 1u);
         EXPECT_EQ(client->answers[0].result_int(), 200u);
     }
-    bool ended() {
+    bool has_ended() {
         if (child > 0 && ::waitpid(child, &status, WNOHANG) == child) child = -1;
         return child <= 0;
     }
-    // Never to any other process: of one that has ended the number is -1, which means all.
+    // Sends a signal to the program. After its end `child` is -1, with which kill() would signal all
+    // processes.
     void signal(int number) {
-        ASSERT_FALSE(ended());
+        ASSERT_FALSE(has_ended());
         ::kill(child, number);
     }
-    void expect_it_ends_well() {
+    void expect_exit_with_zero_on_sigterm() {
         ASSERT_NO_FATAL_FAILURE(signal(SIGTERM));
-        run_until(io, [&] { return ended(); });
+        run_until(io, [&] { return has_ended(); });
         EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 0) << status;
     }
-    // Lines are dropped while there is no room, told of when there is, and none is cut.
-    void expect_it_goes_on_without_a_reader() {
+    // Expects that the program serves requests while its log is full. Log lines that do not fit are dropped,
+    // their number is logged once there is free space, and no line is truncated.
+    void expect_service_while_log_is_full() {
         fill();
-        begin_with_pipe();
-        ASSERT_NO_FATAL_FAILURE(expect_it_serves());
+        start_with_log_to_pipe();
+        ASSERT_NO_FATAL_FAILURE(expect_served_request());
         std::string text;
-        std::array<char, 65536> piece{};
+        std::array<char, 65536> chunk{};
         ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
         const auto read_all = [&] {
-            for (ssize_t count; (count = ::read(ends[0], piece.data(), piece.size())) > 0;)
-                text.append(piece.data(), static_cast<std::size_t>(count));
+            for (ssize_t count; (count = ::read(ends[0], chunk.data(), chunk.size())) > 0;)
+                text.append(chunk.data(), static_cast<std::size_t>(count));
         };
         read_all();
         std::ofstream(folder / "config.json") << "{\"name\"";
@@ -471,54 +484,58 @@
         std::istringstream lines(text.substr(std::min(text.size(), text.find_first_not_of('x'))));
         std::string line;
         std::getline(lines, line);
-        const auto told = nlohmann::json::parse(line, nullptr, false);
-        ASSERT_TRUE(told.is_object()) << line;
-        EXPECT_EQ(told.value("event", ""), "log.dropped") << line;
-        EXPECT_EQ(told.value("lines", 0), 1) << "that it listens: " << line;
+        const auto dropped = nlohmann::json::parse(line, nullptr, false);
+        ASSERT_TRUE(dropped.is_object()) << line;
+        EXPECT_EQ(dropped.value("event", ""), "log.dropped") << line;
+        EXPECT_EQ(dropped.value("lines", 0), 1) << "only sidecar.listening is dropped: " << line;
         std::getline(lines, line);
         EXPECT_EQ(nlohmann::json::parse(line, nullptr, false).value("event", ""), "config.reload_failed")
             << line;
-        expect_it_ends_well();
+        expect_exit_with_zero_on_sigterm();
     }
     int status = 0;
 };
 
-TEST_F(Logging, AFullPipeHoldsUpNoRequest) {
+// Guards against a blocking write to the log that delays requests.
+TEST_F(ProgramLogging, FullPipeDelaysNoRequest) {
     open_pipe();
-    expect_it_goes_on_without_a_reader();
+    expect_service_while_log_is_full();
 }
 
-TEST_F(Logging, AFullSocketHoldsUpNoRequest) {
+TEST_F(ProgramLogging, FullSocketDelaysNoRequest) {
     open_sockets();
-    expect_it_goes_on_without_a_reader();
+    expect_service_while_log_is_full();
 }
 
-TEST_F(Logging, AReaderThatHasGoneIsNotItsEnd) {
+// Guards against SIGPIPE ending the program.
+TEST_F(ProgramLogging, SurvivesAReaderThatHasClosedThePipe) {
     open_pipe();
-    begin([this] { return ::close(ends[0]) == 0 && ::dup2(ends[1], STDERR_FILENO) == STDERR_FILENO; });
+    start_program(
+        [this] { return ::close(ends[0]) == 0 && ::dup2(ends[1], STDERR_FILENO) == STDERR_FILENO; });
     ::close(std::exchange(ends[0], -1));
-    ASSERT_NO_FATAL_FAILURE(expect_it_serves());
-    expect_it_ends_well();
+    ASSERT_NO_FATAL_FAILURE(expect_served_request());
+    expect_exit_with_zero_on_sigterm();
 }
 
-TEST_F(Logging, AFullDiskIsNotItsEnd) {
-    begin([] { return std::freopen("/dev/full", "w", stderr) != nullptr; });
-    ASSERT_NO_FATAL_FAILURE(expect_it_serves());
-    expect_it_ends_well();
+TEST_F(ProgramLogging, SurvivesAFullDisk) {
+    start_program([] { return std::freopen("/dev/full", "w", stderr) != nullptr; });
+    ASSERT_NO_FATAL_FAILURE(expect_served_request());
+    expect_exit_with_zero_on_sigterm();
 }
 
-// Nothing of ours may take the numbers of the standard descriptors: log lines would go there.
-TEST_F(Logging, ClosedStandardDescriptorsAreGivenToNoSocket) {
-    begin([] { return ::close(0) == 0 && ::close(1) == 0 && ::close(2) == 0; });
-    ASSERT_NO_FATAL_FAILURE(expect_it_serves());
+// Guards against a socket that gets the number of a standard descriptor, as log lines would be sent through
+// it.
+TEST_F(ProgramLogging, ReplacesClosedStandardDescriptorsByDevNull) {
+    start_program([] { return ::close(0) == 0 && ::close(1) == 0 && ::close(2) == 0; });
+    ASSERT_NO_FATAL_FAILURE(expect_served_request());
     for (const int number : {0, 1, 2})
         EXPECT_EQ(
             std::filesystem::read_symlink("/proc/" + std::to_string(child) + "/fd/" + std::to_string(number)),
             "/dev/null");
-    expect_it_ends_well();
+    expect_exit_with_zero_on_sigterm();
 }
 
-TEST_F(Program, FollowsDiscoveryOnSighupAndSurvivesARubbishFile) {
+TEST_F(Program, SwitchesDiscoveryOnSighupAndSurvivesAMalformedFile) {
     asio::io_context io;
     ScriptedServer first(io, [](const auto&) { return Reply{}; }), second(io, first.script);
     const auto config = [](const ScriptedServer& discovery) {
@@ -533,7 +550,7 @@
         return std::string(std::istreambuf_iterator<char>(log), {}).find("config.reload_failed") !=
                std::string::npos;
     });
-    {  // one JSON object a line, with the time, level, event and sidecar
+    {  // each line is a JSON object with the time, level, event and sidecar
         std::ifstream log(folder / "log");
         std::string line;
         std::getline(log, line);
@@ -554,9 +571,10 @@
     EXPECT_EQ(exit_status_of(child), 0);
 }
 
-// One new configuration after another, every third one written by half when it is told of, while requests go
-// on: each has its answer, the last whole one counts, and no descriptor is left behind.
-TEST_F(Program, ManyNewConfigurationsInARowCostNoRequestAndTheLastOneCounts) {
+// Guards against requests and descriptors that are lost in reloads. The configuration is replaced repeatedly
+// under requests, and every third file is truncated at the signal. Each request must be answered, the last
+// valid configuration must be in force, and the number of descriptors must return to that at the start.
+TEST_F(Program, ManyReloadsLoseNoRequestAndApplyTheLastValidConfiguration) {
     constexpr int kConfigurations = 99;
     asio::io_context io;
     ScriptedServer server(io, [](const auto&) { return Reply{response("200 OK", "served")}; });
@@ -570,28 +588,31 @@
     run_until(io, [&] { return first.requests.size() == 1; });
     TestClient client(io, listen);
     std::size_t answers = 0;
-    const auto ask = [&] {
+    const auto send_request = [&] {
         client.send(request("listen", "id-" + std::to_string(++answers)));
         run_until(io, [&] { return client.answers.size() == answers || client.ended; });
         ASSERT_EQ(client.answers.size(), answers);
         EXPECT_EQ(client.answers.back().result_int(), 200u);
     };
-    const auto open_to = [](const ScriptedServer& s) { return s.connections.size() - s.ended_count(); };
+    const auto open_connections = [](const ScriptedServer& scripted) {
+        return scripted.connections.size() - scripted.ended_count();
+    };
     const auto other_descriptors = [&] {
         const std::filesystem::directory_iterator all("/proc/" + std::to_string(child) + "/fd"), end;
-        return static_cast<std::size_t>(std::distance(all, end)) - open_to(server);
+        return static_cast<std::size_t>(std::distance(all, end)) - open_connections(server);
     };
-    ASSERT_NO_FATAL_FAILURE(ask());
+    ASSERT_NO_FATAL_FAILURE(send_request());
     const std::size_t before = other_descriptors();
     for (int i = 0; i < kConfigurations; ++i) {
         const std::string text = config(i % 2 == 0 ? second : first);
-        const bool half = i % 3 == 1;
-        std::ofstream(folder / "config.json") << (half ? text.substr(0, text.size() / 2) : text);
+        const bool is_truncated = i % 3 == 1;
+        std::ofstream(folder / "config.json") << (is_truncated ? text.substr(0, text.size() / 2) : text);
         ::kill(child, SIGHUP);
-        ASSERT_NO_FATAL_FAILURE(ask());
+        ASSERT_NO_FATAL_FAILURE(send_request());
     }
-    run_until(io,
-              [&] { return open_to(second) == 1 && open_to(first) == 0 && other_descriptors() == before; });
+    run_until(io, [&] {
+        return open_connections(second) == 1 && open_connections(first) == 0 && other_descriptors() == before;
+    });
     ::kill(child, SIGTERM);
     EXPECT_EQ(exit_status_of(child), 0);
 }
