--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -72,7 +72,7 @@
         fleet.kill(one);
         fleet.restart(one);
         const Millis begun = fleet.now();
-        const auto life = fleet.at(one).self().life;
+        const auto instance_id = fleet.at(one).self().instance_id;
         const auto wanted = static_cast<std::size_t>(std::ceil(0.99 * static_cast<double>(members - 1)));
         for (int step = 0; step < 2000; ++step) {
             fleet.run(kPeriod / 20);
@@ -80,7 +80,7 @@
             for (std::size_t i = 0; i < members; ++i)
                 if (i != one) {
                     const auto record = fleet.at(i).member(FleetSim::name(one));
-                    know += record && record->life == life;
+                    know += record && record->instance_id == instance_id;
                 }
             if (know >= wanted) break;
         }
--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -67,7 +67,7 @@
     void close();
     void leave();
     Udp::endpoint address() const { return sockets_.udp.local_endpoint(); }
-    Figures figures() const;
+    AgentStatistics statistics() const;
 
 private:
     // What carries the protocol out once the member's addresses are known.
@@ -116,7 +116,7 @@
 };
 
 Agent::Impl::Protocol::Protocol(Impl& agent, const Claim& self)
-    : codec(agent.settings_.key, self.name, self.life),
+    : codec(agent.settings_.key, self.name, self.instance_id),
       membership(self, agent.settings_.parameters, agent.random_()),
       addresses(agent.settings_, membership),
       verifier({agent.clock_, membership, addresses, codec, agent.traffic_},
@@ -152,7 +152,7 @@
 Claim Agent::Impl::claim_of_self(std::string name, std::string version) const {
     Claim self;
     self.name = std::move(name);
-    self.life = new_life(clock_.now());
+    self.instance_id = new_life(clock_.now());
     self.incarnation = static_cast<std::uint64_t>(clock_.now());
     self.udp = settings_.advertise.value_or(net::format_endpoint(sockets_.udp.local_endpoint()));
     self.tcp = self.udp;
@@ -180,9 +180,9 @@
     carry_out(effects);
 }
 
-Figures Agent::Impl::figures() const {
+AgentStatistics Agent::Impl::statistics() const {
     const Membership& membership = protocol_->membership;
-    Figures figures;
+    AgentStatistics figures;
     static_cast<TrafficCounters&>(figures) = traffic_;
     figures.view = membership.view();
     figures.incarnation = membership.self().incarnation;
@@ -261,7 +261,7 @@
     for (const Effects::Send& send : effects.sends)
         if (const auto address = protocol_->addresses.udp(send)) send_datagram(send.message, *address);
     for (const Effects::Change& change : effects.changes)
-        if (callbacks_.learnt) callbacks_.learnt(change);
+        if (callbacks_.member_changed) callbacks_.member_changed(change);
     for (const std::string& name : effects.syncs)
         if (const auto address = protocol_->addresses.tcp(name))
             StateExchange::begin(shared(protocol_->exchange), *address);
@@ -274,7 +274,7 @@
     if (view.present() == reported_present_ && view.quorum() == reported_quorum_) return;
     reported_present_ = view.present();
     reported_quorum_ = view.quorum();
-    if (callbacks_.changed) callbacks_.changed(view);
+    if (callbacks_.view_changed) callbacks_.view_changed(view);
 }
 
 // ---- The agent
@@ -288,6 +288,6 @@
 Agent::~Agent() { impl_->close(); }
 void Agent::leave() { impl_->leave(); }
 Udp::endpoint Agent::address() const { return impl_->address(); }
-Figures Agent::figures() const { return impl_->figures(); }
+AgentStatistics Agent::statistics() const { return impl_->statistics(); }
 
 }  // namespace mothring::cluster
--- a/src/cluster/agent.hpp
+++ b/src/cluster/agent.hpp
@@ -19,7 +19,7 @@
 namespace mothring::cluster {
 
 /// The state of an agent, for /metrics.
-struct Figures : TrafficCounters {
+struct AgentStatistics : TrafficCounters {
     View view;
     std::uint64_t incarnation = 0;
     unsigned awareness = 0;
@@ -36,9 +36,9 @@
     /// Whom it reports to; any of them may be empty.
     struct Callbacks {
         /// The view, whenever it is another.
-        std::function<void(const View&)> changed;
+        std::function<void(const View&)> view_changed;
         /// What was learnt of a member, for the log.
-        std::function<void(const Effects::Change&)> learnt;
+        std::function<void(const Effects::Change&)> member_changed;
         /// @param from  the address of the sender, or "tcp".
         std::function<void(Rejection, const std::string& from)> rejected;
     };
@@ -57,7 +57,7 @@
     void leave();
     /// Where it listens, for UDP and TCP.
     Udp::endpoint address() const;
-    Figures figures() const;
+    AgentStatistics statistics() const;
 
 private:
     class Impl;
--- a/src/cluster/claim.hpp
+++ b/src/cluster/claim.hpp
@@ -25,7 +25,7 @@
     State state = State::alive;
     std::uint64_t incarnation = 0;
     /// Identifies the member's process.
-    std::uint64_t life = 0;
+    std::uint64_t instance_id = 0;
     /// Where it listens for messages, as ADDRESS:PORT.
     std::string udp;
     /// Where it listens for state exchanges, as ADDRESS:PORT.
--- a/src/cluster/codec.cpp
+++ b/src/cluster/codec.cpp
@@ -22,9 +22,9 @@
     return kNames[static_cast<std::size_t>(rejection)];
 }
 
-Codec::Codec(std::string key, std::string name, std::uint64_t life)
-    : key_(std::move(key)), self_{std::move(name), life, 0} {
-    if (key_.size() < kShortestKey) throw std::invalid_argument("the key is too short");
+Codec::Codec(std::string key, std::string name, std::uint64_t instance_id)
+    : key_(std::move(key)), self_{std::move(name), instance_id, 0} {
+    if (key_.size() < kMinKeyBytes) throw std::invalid_argument("the key is too short");
 }
 
 Codec::Mac Codec::mac(std::span<const std::uint8_t> body) const {
@@ -65,7 +65,7 @@
             case KnownLives::Verdict::fresh:
                 return std::move(decoded.payload);
             case KnownLives::Verdict::unproven:
-                return Unproven{origin.name, origin.life, origin.counter, std::move(decoded.payload)};
+                return Unproven{origin.name, origin.instance_id, origin.counter, std::move(decoded.payload)};
             case KnownLives::Verdict::replayed:
                 break;
         }
@@ -75,13 +75,13 @@
     }
 }
 
-void Codec::take_life(const Unproven& proof) { known_[proof.from].prove(proof.life, proof.counter); }
+void Codec::take_life(const Unproven& proof) { known_[proof.from].prove(proof.instance_id, proof.counter); }
 
 KnownLives::Verdict Codec::judge(const Origin& origin) {
-    const bool is_own = origin.name == self_.name && origin.life == self_.life;
+    const bool is_own = origin.name == self_.name && origin.instance_id == self_.instance_id;
     if (is_own) return KnownLives::Verdict::replayed;
     if (!known_.contains(origin.name) && known_.size() >= kMostNames) return KnownLives::Verdict::replayed;
-    return known_[origin.name].judge(origin.life, origin.counter);
+    return known_[origin.name].judge(origin.instance_id, origin.counter);
 }
 
 }  // namespace mothring::cluster
--- a/src/cluster/codec.hpp
+++ b/src/cluster/codec.hpp
@@ -37,7 +37,7 @@
 struct Unproven {
     /// The sender.
     std::string from;
-    std::uint64_t life = 0;
+    std::uint64_t instance_id = 0;
     /// Of the payload, within its life.
     std::uint64_t counter = 0;
     Payload payload;
@@ -52,13 +52,13 @@
     static constexpr std::size_t kSealed = 1 + kMacSize;     // bytes before the payload
     static constexpr std::size_t kLongestDatagram = 1400;    // bytes; within one packet of any link
     static constexpr std::size_t kLongestSync = 512 * 1024;  // bytes
-    static constexpr std::size_t kShortestKey = 16;          // bytes
+    static constexpr std::size_t kMinKeyBytes = 16;          // bytes
 
     /// @param key  the fleet's, at least kShortestKey bytes.
     /// @param name  of the member whose payloads it seals.
     /// @param life  of that member.
     /// @throws std::invalid_argument where the key is too short.
-    Codec(std::string key, std::string name, std::uint64_t life);
+    Codec(std::string key, std::string name, std::uint64_t instance_id);
 
     Bytes seal(const Payload& payload);
     /// Opens an envelope. Each payload is taken once, by the window of RFC 4303, 3.4.3 (KnownLives).
--- a/src/cluster/known_lives.hpp
+++ b/src/cluster/known_lives.hpp
@@ -68,18 +68,19 @@
     };
 
     /// Judges a message by its life and counter, and takes the counter where the verdict is `fresh`.
-    Verdict judge(std::uint64_t life, std::uint64_t counter) {
-        if (!kept_.contains(life)) {
-            if (needs_proof(life)) return is_replaced(life) ? Verdict::replayed : Verdict::unproven;
-            keep(life, {});
+    Verdict judge(std::uint64_t instance_id, std::uint64_t counter) {
+        if (!kept_.contains(instance_id)) {
+            if (needs_proof(instance_id))
+                return is_replaced(instance_id) ? Verdict::replayed : Verdict::unproven;
+            keep(instance_id, {});
         }
-        return kept_.at(life).window.take(counter) ? Verdict::fresh : Verdict::replayed;
+        return kept_.at(instance_id).window.take(counter) ? Verdict::fresh : Verdict::replayed;
     }
     /// Takes the messages of an unproven life from now on, as its process has shown to be present.
     /// @param counter  of the message that has shown it; none from before is taken, as it may be a recording.
-    void prove(std::uint64_t life, std::uint64_t counter) {
-        if (kept_.contains(life)) return;
-        keep(life, {ReplayWindow::starting_after(counter), true});
+    void prove(std::uint64_t instance_id, std::uint64_t counter) {
+        if (kept_.contains(instance_id)) return;
+        keep(instance_id, {ReplayWindow::starting_after(counter), true});
     }
 
 private:
@@ -91,13 +92,15 @@
         bool proven = false;
     };
 
-    bool needs_proof(std::uint64_t life) const { return kept_.size() == kKept && life <= proof_limit_; }
-    bool is_replaced(std::uint64_t life) const {
-        return std::find(replaced_.begin(), replaced_.end(), life) != replaced_.end();
+    bool needs_proof(std::uint64_t instance_id) const {
+        return kept_.size() == kKept && instance_id <= proof_limit_;
     }
-    void keep(std::uint64_t life, const Kept& kept) {
+    bool is_replaced(std::uint64_t instance_id) const {
+        return std::find(replaced_.begin(), replaced_.end(), instance_id) != replaced_.end();
+    }
+    void keep(std::uint64_t instance_id, const Kept& kept) {
         if (kept_.size() == kKept) drop_least();
-        kept_.emplace(life, kept);
+        kept_.emplace(instance_id, kept);
         /// It never falls, so that no life that was dropped is ever taken again without a proof.
         if (kept_.size() == kKept) proof_limit_ = std::max(proof_limit_, kept_.begin()->first);
     }
--- a/src/cluster/membership_claims.cpp
+++ b/src/cluster/membership_claims.cpp
@@ -50,13 +50,13 @@
 void Membership::apply_to_self(Millis now, const Claim& claim, Effects& effects) {
     if (is_silent() || claim.incarnation < self_.incarnation) return;
     if (claim.state != State::alive) return refute(claim, effects);
-    if (claim.life != self_.life) contest_name(now, claim, effects);
+    if (claim.instance_id != self_.instance_id) contest_name(now, claim, effects);
 }
 
 // Another life has the name. An earlier one is over; of two with the same incarnation the lesser life is
 // over.
 void Membership::contest_name(Millis now, const Claim& claim, Effects& effects) {
-    const bool wins_tie = claim.incarnation == self_.incarnation && self_.life > claim.life;
+    const bool wins_tie = claim.incarnation == self_.incarnation && self_.instance_id > claim.instance_id;
     if (wins_tie || is_earlier_life(now, claim)) {
         self_.incarnation = claim.incarnation + 1;
         dissemination_.enqueue(self_);
@@ -82,7 +82,7 @@
 // (SWIM 4.2).
 void Membership::refute(const Claim& claim, Effects& effects) {
     self_.incarnation = claim.incarnation + 1;
-    if (claim.life == self_.life) {
+    if (claim.instance_id == self_.instance_id) {
         ++counters_.accused;
         local_health_.adjust(1);
         effects.changes.push_back({"accused", self_.name, self_.incarnation, claim.by});
@@ -105,7 +105,7 @@
 
 void Membership::revive(Millis now, Member& member, const Claim& claim, Effects& effects) {
     const State before = member.claim.state;
-    const bool is_other_life = claim.life != member.claim.life;
+    const bool is_other_life = claim.instance_id != member.claim.instance_id;
     if (before == State::suspect && !is_other_life) ++counters_.refuted;
     member = Member{claim, now};
     if (!is_present(before) || is_other_life)
--- a/src/cluster/payload.cpp
+++ b/src/cluster/payload.cpp
@@ -22,14 +22,14 @@
     for (const Claim& claim : claims) {
         packer.pack_array(kClaimItems);
         packer.pack(claim.name).pack(static_cast<std::uint8_t>(claim.state));
-        packer.pack(claim.incarnation).pack(claim.life);
+        packer.pack(claim.incarnation).pack(claim.instance_id);
         packer.pack(claim.udp).pack(claim.tcp).pack(claim.version).pack(claim.by);
     }
 }
 
 void pack_head(Packer& packer, const Origin& origin, std::uint8_t kind) {
     packer.pack_array(kPayloadItems);
-    packer.pack(origin.name).pack(origin.life).pack(origin.counter).pack(kind);
+    packer.pack(origin.name).pack(origin.instance_id).pack(origin.counter).pack(kind);
 }
 
 // Reads an array's items in turn; throws where one is missing or of another type.
@@ -67,7 +67,7 @@
         throw std::invalid_argument("no claim");
     claim.state = static_cast<State>(state);
     claim.incarnation = items.number();
-    claim.life = items.number();
+    claim.instance_id = items.number();
     claim.udp = items.text();
     claim.tcp = items.text();
     claim.version = items.text();
@@ -130,7 +130,7 @@
     DecodedPayload decoded;
     Origin& origin = decoded.origin;
     origin.name = items.text();
-    origin.life = items.number();
+    origin.instance_id = items.number();
     origin.counter = items.number();
     const std::uint64_t kind = items.number();
     if (origin.name.empty()) throw std::invalid_argument("no name");
--- a/src/cluster/payload.hpp
+++ b/src/cluster/payload.hpp
@@ -33,7 +33,7 @@
 struct Origin {
     std::string name;
     /// Of the sender's process.
-    std::uint64_t life = 0;
+    std::uint64_t instance_id = 0;
     /// Greater with each payload of a life.
     std::uint64_t counter = 0;
 };
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -100,8 +100,8 @@
     }
     const char* const key = table.has("key_file") ? "key_file" : "key";
     if (const auto text = table.text("key")) secret = *text;
-    if (secret.size() < cluster::Codec::kShortestKey)
-        table.fail(key, "expects a shared key of " + std::to_string(cluster::Codec::kShortestKey) +
+    if (secret.size() < cluster::Codec::kMinKeyBytes)
+        table.fail(key, "expects a shared key of " + std::to_string(cluster::Codec::kMinKeyBytes) +
                             " bytes or more");
     return secret;
 }
--- a/src/lab/fleet_sim.cpp
+++ b/src/lab/fleet_sim.cpp
@@ -24,10 +24,10 @@
     self.name = name(i);
     self.udp = self.tcp = "127.0.0.1:" + std::to_string(20000 + i);
     self.version = "1.0.0";
-    self.life = ++nodes_[i].life;
+    self.instance_id = ++nodes_[i].life;
     self.incarnation = static_cast<std::uint64_t>(now_);
     nodes_[i].membership = std::make_unique<Membership>(self, parameters_, random_());
-    nodes_[i].codec = std::make_unique<cluster::Codec>("a simulated fleet", self.name, self.life);
+    nodes_[i].codec = std::make_unique<cluster::Codec>("a simulated fleet", self.name, self.instance_id);
     nodes_[i].paused = false;
     nodes_[i].unread.clear();
     Effects effects;
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -14,7 +14,7 @@
 constexpr unsigned kStatusTooManyRequests = 429;
 constexpr unsigned kStatusServiceUnavailable = 503;
 
-Json members_json(const cluster::Figures& figures) {
+Json members_json(const cluster::AgentStatistics& figures) {
     Json members = Json::array();
     for (const cluster::Claim& member : figures.members)
         members.push_back({{"name", member.name},
@@ -24,14 +24,14 @@
     return members;
 }
 
-Json rejected_json(const cluster::Figures& figures) {
+Json rejected_json(const cluster::AgentStatistics& figures) {
     Json rejected = Json::object();
     for (std::size_t reason = 0; reason < figures.rejected.size(); ++reason)
         rejected[cluster::name_of(static_cast<cluster::Rejection>(reason))] = figures.rejected[reason];
     return rejected;
 }
 
-Json cluster_json(const cluster::Figures& figures) {
+Json cluster_json(const cluster::AgentStatistics& figures) {
     return {{"alive", figures.view.alive},
             {"suspect", figures.view.suspect},
             {"dead", figures.view.dead},
--- a/src/node/metrics.hpp
+++ b/src/node/metrics.hpp
@@ -50,7 +50,7 @@
     std::size_t servers_unavailable = 0;
     Discovery::State list;
     /// Absent: the membership is off.
-    std::optional<cluster::Figures> cluster;
+    std::optional<cluster::AgentStatistics> cluster;
 };
 
 /// The metrics as JSON. Its names are an interface to operators.
--- a/src/node/sidecar.cpp
+++ b/src/node/sidecar.cpp
@@ -127,12 +127,12 @@
 
 cluster::Agent::Callbacks Sidecar::cluster_callbacks() {
     cluster::Agent::Callbacks callbacks;
-    callbacks.changed = [this](const cluster::View& view) {
+    callbacks.view_changed = [this](const cluster::View& view) {
         net::log(net::LogLevel::info, "cluster.view",
                  {{"present", view.present()}, {"expected", view.expected}, {"quorum", view.quorum()}});
         loop_.handle(MemberView{static_cast<std::uint32_t>(view.present()), view.quorum()});
     };
-    callbacks.learnt = [](const cluster::Effects::Change& change) {
+    callbacks.member_changed = [](const cluster::Effects::Change& change) {
         net::LogFields fields{{"member", change.name}, {"incarnation", change.incarnation}};
         if (!change.by.empty()) fields["by"] = change.by;
         net::log(net::LogLevel::info, "member." + change.what, std::move(fields));
@@ -235,7 +235,7 @@
     metrics.servers_listed = endpoints_.listed_count();
     metrics.list = endpoint_list_.state();
     metrics.servers_unavailable = loop_.gauges().unavailable;
-    if (cluster_) metrics.cluster = cluster_->figures();
+    if (cluster_) metrics.cluster = cluster_->statistics();
     return metrics;
 }
 
--- a/tests/cluster_restart_test.cpp
+++ b/tests/cluster_restart_test.cpp
@@ -68,26 +68,27 @@
     }
     /// Waits so long on the protocol's own clock: the probes that the member makes.
     bool run_periods(std::uint64_t count) {
-        const auto probes = [&] { return agent(member).figures().counters.probes; };
+        const auto probes = [&] { return agent(member).statistics().counters.probes; };
         const std::uint64_t before = probes();
         return until([&] { return probes() >= before + count; }, kGatheringLimit);
     }
-    std::uint64_t life_of_member() { return agent(member).figures().members.front().life; }
+    std::uint64_t life_of_member() { return agent(member).statistics().members.front().instance_id; }
     /// Whether `observer` takes the present life of the member for alive.
     bool sees_member(const std::string& observer) {
-        const std::vector<Claim> claims = agent(observer).figures().members;
+        const std::vector<Claim> claims = agent(observer).statistics().members;
         return std::any_of(claims.begin(), claims.end(), [&](const Claim& claim) {
-            return claim.name == member && claim.state == State::alive && claim.life == life_of_member();
+            return claim.name == member && claim.state == State::alive &&
+                   claim.instance_id == life_of_member();
         });
     }
     bool all_see_member() { return sees_member("n1") && sees_member("n2"); }
-    bool member_sees_all() { return agent(member).figures().view.alive == 3; }
+    bool member_sees_all() { return agent(member).statistics().view.alive == 3; }
     /// Until the others have taken messages of this life: they know it from then on.
     bool becomes_known(Millis limit) {
         return until(
             [&] {
                 return all_see_member() && member_sees_all() &&
-                       agent(member).figures().counters.probes >= kProbesOfEverybody;
+                       agent(member).statistics().counters.probes >= kProbesOfEverybody;
             },
             limit);
     }
@@ -117,7 +118,7 @@
     ASSERT_TRUE(run_periods(20));
     EXPECT_TRUE(all_see_member());
     EXPECT_TRUE(member_sees_all());
-    EXPECT_FALSE(agent(member).figures().superseded);
+    EXPECT_FALSE(agent(member).statistics().superseded);
 }
 
 TEST_P(ClockSteps, DoNotKeepALaterLifeOutAtAnotherAddress) {
@@ -179,7 +180,7 @@
         Claim claim;
         claim.name = member;
         claim.incarnation = 1;
-        claim.life = 5;
+        claim.instance_id = 5;
         claim.udp = claim.tcp = address;
         message.claims = {claim};
         return message;
@@ -203,11 +204,11 @@
         return sequences;
     }
     std::uint64_t rejected(Rejection why) {
-        return agent("n1").figures().rejected[static_cast<std::size_t>(why)];
+        return agent("n1").statistics().rejected[static_cast<std::size_t>(why)];
     }
     std::uint64_t replayed() { return rejected(Rejection::replayed); }
     bool is_known() {
-        const std::vector<Claim> claims = agent("n1").figures().members;
+        const std::vector<Claim> claims = agent("n1").statistics().members;
         return std::any_of(claims.begin(), claims.end(),
                            [](const Claim& claim) { return claim.name == member; });
     }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -36,7 +36,7 @@
     claim.name = name;
     claim.state = state;
     claim.incarnation = incarnation;
-    claim.life = 1;
+    claim.instance_id = 1;
     claim.by = by;
     claim.udp = claim.tcp = "127.0.0.1:1";
     return claim;
@@ -51,7 +51,7 @@
         sync.claims.push_back(claim_about(name, State::alive, 1, ""));
         sync.claims.back().udp = sync.claims.back().tcp = "255.255.255.255:65535";
     }
-    const std::string key(Codec::kShortestKey, 'k');
+    const std::string key(Codec::kMinKeyBytes, 'k');
     const Bytes bytes = Codec(key, "m0", 1).seal(sync);
     const auto opened = Codec(key, "me", 2).open(bytes, Codec::kLongestSync);
     ASSERT_TRUE(std::holds_alternative<Payload>(opened)) << bytes.size();
@@ -96,7 +96,7 @@
     Claim self;
     self.name = "me";
     self.incarnation = 5;
-    self.life = 1;
+    self.instance_id = 1;
     Membership me(self, parameters, 1);
     Effects effects;
     me.merge(1, {claim_about("x", State::alive, 1, "")}, "x", effects);
@@ -117,14 +117,14 @@
     for (const bool superseded : {true, false}) {
         Claim self;
         self.name = "me";
-        self.life = 1;
+        self.instance_id = 1;
         Membership me(self, parameters, 1);
         Effects effects;
         me.tick(1, effects);
         me.merge(1, {claim_about("x", State::alive, 1, ""), claim_about("x", State::suspect, 1, "y")}, "y",
                  effects);
         Claim other = claim_about("me", State::alive, 9, "");
-        other.life = 2;
+        other.instance_id = 2;
         if (superseded)
             me.merge(1, {other}, "y", effects);
         else
@@ -141,12 +141,12 @@
     Claim self;
     self.name = "me";
     self.incarnation = 5;
-    self.life = 1;
+    self.instance_id = 1;
     Membership starting(self, parameters, 1), old(self, parameters, 1);
     Claim other = claim_about("me", State::alive, 9, "");
-    other.life = 2;
+    other.instance_id = 2;
     Effects effects;
-    starting.merge(1, {other}, "x", effects);  // what is left of an earlier life: it is over
+    starting.merge(1, {other}, "x", effects);  // what is left of an earlier instance_id: it is over
     EXPECT_FALSE(starting.superseded());
     EXPECT_EQ(starting.self().incarnation, 10u);
     old.merge(1, {claim_about("x", State::alive, 1, "")}, "x", effects);
@@ -167,9 +167,9 @@
 /// that life from the others afterwards: as it holds the address now, that process is over.
 TEST(Claims, OfAGreaterLifeAtThisMembersOwnAddressDoNotSupersedeIt) {
     Claim self = claim_about("me", State::alive, 5, "");
-    self.life = 1;
+    self.instance_id = 1;
     Claim earlier = self;
-    earlier.life = 2;
+    earlier.instance_id = 2;
     for (const std::uint64_t incarnation : {5, 9}) {
         Membership me(self, parameters, 1);
         Effects effects;
@@ -182,7 +182,7 @@
         // Long after the start nobody has an earlier life to tell of: another process got the address.
         Claim another = earlier;
         another.incarnation = incarnation + 10;
-        another.life = 3;
+        another.instance_id = 3;
         me.merge(1000 * kPeriod, {another}, "y", effects);
         EXPECT_TRUE(me.superseded());
     }
@@ -341,7 +341,7 @@
         const auto* const unproven = std::get_if<Unproven>(&opened);
         ASSERT_TRUE(unproven);
         EXPECT_EQ(unproven->from, "n1");
-        EXPECT_EQ(unproven->life, 5u);
+        EXPECT_EQ(unproven->instance_id, 5u);
         EXPECT_EQ(unproven->counter, 1u);
         EXPECT_EQ(std::get<Message>(unproven->payload).sequence, 77u);
     }
@@ -375,7 +375,7 @@
     prove(later);
     const Bytes recorded = later.seal(sample());
     EXPECT_TRUE(takes(recorded));
-    Codec recording(key, "n1", 13);  // of a life that the receiver never met
+    Codec recording(key, "n1", 13);  // of a instance_id that the receiver never met
     EXPECT_TRUE(takes(recording.seal(sample())));
     EXPECT_TRUE(leaves_unproven(recorded));
     prove(later);
@@ -385,8 +385,8 @@
 
 TEST_F(SteppedBack, OnlyABoundedNumberOfReplacedLivesIsRememberedAndNoneIsTakenAgain) {
     std::vector<Bytes> recorded;
-    for (std::uint64_t life = 100; life < 200; ++life) {
-        Codec sender(key, "n1", life);
+    for (std::uint64_t instance_id = 100; instance_id < 200; ++instance_id) {
+        Codec sender(key, "n1", instance_id);
         recorded.push_back(sender.seal(sample()));
         EXPECT_TRUE(takes(recorded.back()));
     }
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -557,7 +557,7 @@
     cluster::Agent agent_of_first(io, settings({}), "n1", "1", {});
     const Ports at_first{agent_of_first.address().port(), 0};
     const auto rejected = [&] {
-        return agent_of_first.figures().rejected[static_cast<std::size_t>(cluster::Rejection::oversized)];
+        return agent_of_first.statistics().rejected[static_cast<std::size_t>(cluster::Rejection::oversized)];
     };
     for (const int error : {ECONNABORTED, EPROTO, EINTR, EMFILE}) {
         const auto before = rejected();
@@ -581,7 +581,7 @@
     EXPECT_GE(faults.failure_count(SystemCall::receive), 1);
     EXPECT_LE(faults.failure_count(SystemCall::receive), 4000);
     faults.fail(SystemCall::receive, 0, 0);
-    until([&] { return first.figures().view.present() == 2 && second.figures().view.present() == 2; });
+    until([&] { return first.statistics().view.present() == 2 && second.statistics().view.present() == 2; });
 }
 
 // ---- The start --------------------------------------------------------------------------------------------
