--- a/src/cluster/agent.cpp
+++ b/src/cluster/agent.cpp
@@ -23,15 +23,15 @@
 
 constexpr double kRateWindowPeriods = 10;
 constexpr double kMillisPerSecond = 1000;
-// Random bits of a life, below those of its time.
-constexpr unsigned kLifeRandomBits = 16;
+// Number of random bits of an instance ID, below the bits of its start time.
+constexpr unsigned kInstanceRandomBits = 16;
 
-std::uint64_t new_life(Millis now) {
-    constexpr std::uint64_t kRandomMask = (1U << kLifeRandomBits) - 1;
-    return static_cast<std::uint64_t>(now) << kLifeRandomBits | (std::random_device{}() & kRandomMask);
+std::uint64_t new_instance_id(Millis now) {
+    constexpr std::uint64_t kRandomMask = (1U << kInstanceRandomBits) - 1;
+    return static_cast<std::uint64_t>(now) << kInstanceRandomBits | (std::random_device{}() & kRandomMask);
 }
 
-// The rate at which a count grows, over windows of at least a given length.
+// Measures the rate at which a counter grows, over windows of at least the given length.
 class RateMeter {
 public:
     explicit RateMeter(Millis window) : window_(window) {}
@@ -44,7 +44,7 @@
         started_at_ = now;
         count_at_start_ = count;
     }
-    // Of the last window that is over.
+    // Returns the rate over the last completed window.
     double per_second() const { return per_second_; }
 
 private:
@@ -56,21 +56,21 @@
 
 }  // namespace
 
-/// The agent itself: what waits on its sockets and timers holds it, until it is closed.
+/// The agent's implementation. Pending operations on its sockets and timers keep it alive until it is closed.
 class Agent::Impl : public std::enable_shared_from_this<Impl> {
 public:
     Impl(asio::io_context& io, Settings settings, std::string name, std::string version, Callbacks callbacks,
          net::Clock clock);
     /// Begins to receive, answer and probe.
     void begin();
-    /// Stops everything, and calls nobody any more.
+    /// Stops all operations. No callback is called after that.
     void close();
     void leave();
     Udp::endpoint address() const { return sockets_.udp.local_endpoint(); }
     AgentStatistics statistics() const;
 
 private:
-    // What carries the protocol out once the member's addresses are known.
+    // The parts that run the protocol; they are created when the listening address is known.
     struct Protocol {
         Protocol(Impl& agent, const Claim& self);
 
@@ -82,7 +82,7 @@
     };
 
     Claim claim_of_self(std::string name, std::string version) const;
-    // A pointer to a part of this agent that keeps all of it alive.
+    // Returns a pointer to a part of this agent that keeps the whole agent alive.
     template <class Part>
     std::shared_ptr<Part> shared(Part& part) {
         return {shared_from_this(), &part};
@@ -90,12 +90,12 @@
 
     void receive_datagram(std::span<const std::uint8_t> bytes, const Udp::endpoint& sender);
     void send_datagram(const Message& message, const Udp::endpoint& address);
-    void announce(const Tcp::endpoint& seed);
+    void send_empty_gossip(const Tcp::endpoint& seed);
     void merge(const Sync& sync);
-    void report_rejection(Rejection why, const std::string& from);
+    void report_rejection(Rejection reason, const std::string& from);
 
     void run_due();
-    void carry_out(const Effects& effects);
+    void execute(const Effects& effects);
     void report_view();
 
     asio::io_context& io_;
@@ -109,7 +109,7 @@
     TrafficCounters traffic_;
     RateMeter send_rate_;
     std::optional<Protocol> protocol_;
-    // Of the view that was last reported.
+    // State of the last reported view.
     std::size_t reported_present_ = 0;
     bool reported_quorum_ = false;
     bool closed_ = false;
@@ -121,14 +121,14 @@
       addresses(agent.settings_, membership),
       verifier({agent.clock_, membership, addresses, codec, agent.traffic_},
                agent.settings_.parameters.period,
-               {[&agent](Rejection why, const std::string& from) { agent.report_rejection(why, from); },
+               {[&agent](Rejection reason, const std::string& from) { agent.report_rejection(reason, from); },
                 [&agent](const Message& message, const Udp::endpoint& address) {
                     agent.send_datagram(message, address);
                 }}),
       exchange({agent.io_, agent.settings_, agent.sockets_.acceptor, membership, codec, verifier,
                 agent.traffic_, agent.random_},
                {[&agent](const Sync& sync) { agent.merge(sync); },
-                [&agent](const Tcp::endpoint& seed) { agent.announce(seed); }}) {}
+                [&agent](const Tcp::endpoint& seed) { agent.send_empty_gossip(seed); }}) {}
 
 Agent::Impl::Impl(asio::io_context& io, Settings settings, std::string name, std::string version,
                   Callbacks callbacks, net::Clock clock)
@@ -152,7 +152,7 @@
 Claim Agent::Impl::claim_of_self(std::string name, std::string version) const {
     Claim self;
     self.name = std::move(name);
-    self.instance_id = new_life(clock_.now());
+    self.instance_id = new_instance_id(clock_.now());
     self.incarnation = static_cast<std::uint64_t>(clock_.now());
     self.udp = settings_.advertise.value_or(net::format_endpoint(sockets_.udp.local_endpoint()));
     self.tcp = self.udp;
@@ -168,7 +168,7 @@
 
 void Agent::Impl::close() {
     closed_ = true;
-    callbacks_ = {};  // whoever they call may be gone
+    callbacks_ = {};  // the objects that the callbacks use may be destroyed
     datagrams_.close();
     protocol_->exchange.close();
     timer_.cancel();
@@ -177,28 +177,28 @@
 void Agent::Impl::leave() {
     Effects effects;
     protocol_->membership.leave(clock_.now(), effects);
-    carry_out(effects);
+    execute(effects);
 }
 
 AgentStatistics Agent::Impl::statistics() const {
     const Membership& membership = protocol_->membership;
-    AgentStatistics figures;
-    static_cast<TrafficCounters&>(figures) = traffic_;
-    figures.view = membership.view();
-    figures.incarnation = membership.self().incarnation;
-    figures.awareness = membership.awareness();
-    figures.superseded = membership.superseded();
-    figures.counters = membership.counters();
-    figures.bytes_sent_per_s = send_rate_.per_second();
-    figures.members = membership.members();
-    return figures;
+    AgentStatistics statistics;
+    static_cast<TrafficCounters&>(statistics) = traffic_;
+    statistics.view = membership.view();
+    statistics.incarnation = membership.self().incarnation;
+    statistics.awareness = membership.awareness();
+    statistics.superseded = membership.superseded();
+    statistics.counters = membership.counters();
+    statistics.bytes_sent_per_s = send_rate_.per_second();
+    statistics.members = membership.members();
+    return statistics;
 }
 
 // ---- Messages
 
 void Agent::Impl::receive_datagram(std::span<const std::uint8_t> bytes, const Udp::endpoint& sender) {
     const std::string from = net::format_endpoint(sender);
-    const auto payload = protocol_->verifier.open(bytes, Codec::kLongestDatagram, from, sender);
+    const auto payload = protocol_->verifier.open(bytes, Codec::kMaxDatagramBytes, from, sender);
     if (!payload) return;
     const auto* const message = std::get_if<Message>(&*payload);
     if (!message) {
@@ -207,21 +207,23 @@
     }
     Effects effects;
     protocol_->membership.receive(clock_.now(), *message, from, effects);
-    carry_out(effects);
+    execute(effects);
 }
 
 void Agent::Impl::send_datagram(const Message& message, const Udp::endpoint& address) {
     const Bytes bytes = protocol_->codec.seal(message);
-    if (bytes.size() > Codec::kLongestDatagram) return;  // the limit on claims keeps it below
-    error_code lost;                                     // as any datagram may be
+    if (bytes.size() > Codec::kMaxDatagramBytes)
+        return;       // the limit on claims keeps messages below this size
+    error_code lost;  // errors are ignored, as datagrams may be lost anyway
     sockets_.udp.send_to(asio::buffer(bytes), address, 0, lost);
     traffic_.bytes_sent += bytes.size();
     ++traffic_.datagrams_sent;
 }
 
-// A seed may not have answered because it takes this life for a recording. An exchange does not tell it
-// where to send a challenge: an empty datagram does, by the address that it comes from.
-void Agent::Impl::announce(const Tcp::endpoint& seed) {
+// Sends a datagram without claims to a seed that has not answered a state exchange. The seed may treat this
+// process instance as a replay and needs an address to challenge. A state exchange does not give it one, but
+// a datagram does by its source address.
+void Agent::Impl::send_empty_gossip(const Tcp::endpoint& seed) {
     const Membership& membership = protocol_->membership;
     if (membership.is_silent()) return;
     const Udp::endpoint address(seed.address(), seed.port());
@@ -231,12 +233,12 @@
 void Agent::Impl::merge(const Sync& sync) {
     Effects effects;
     protocol_->membership.merge(clock_.now(), sync.claims, sync.from, effects);
-    carry_out(effects);
+    execute(effects);
     run_due();
 }
 
-void Agent::Impl::report_rejection(Rejection why, const std::string& from) {
-    if (callbacks_.rejected) callbacks_.rejected(why, from);
+void Agent::Impl::report_rejection(Rejection reason, const std::string& from) {
+    if (callbacks_.rejected) callbacks_.rejected(reason, from);
 }
 
 // ---- Time
@@ -245,10 +247,10 @@
     Membership& membership = protocol_->membership;
     const Millis now = clock_.now();
     if (membership.next() <= now) {
-        datagrams_.drain();  // before anything is judged: what has come in time counts
+        datagrams_.drain();  // datagrams that arrived before the deadlines must count
         Effects effects;
         membership.tick(clock_.now(), effects);
-        carry_out(effects);
+        execute(effects);
     }
     send_rate_.update(now, traffic_.bytes_sent);
     timer_.expires_at(clock_.to_time_point(membership.next()));
@@ -257,7 +259,7 @@
     });
 }
 
-void Agent::Impl::carry_out(const Effects& effects) {
+void Agent::Impl::execute(const Effects& effects) {
     for (const Effects::Send& send : effects.sends)
         if (const auto address = protocol_->addresses.udp(send)) send_datagram(send.message, *address);
     for (const Effects::Change& change : effects.changes)
@@ -268,7 +270,7 @@
     if (!effects.syncs.empty() || !effects.changes.empty()) report_view();
 }
 
-// Reports the view where it is another than the last.
+// Reports the view if it differs from the last reported one.
 void Agent::Impl::report_view() {
     const View view = protocol_->membership.view();
     if (view.present() == reported_present_ && view.quorum() == reported_quorum_) return;
--- a/src/cluster/agent.hpp
+++ b/src/cluster/agent.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The membership on sockets: datagrams for probes and gossip, short TCP exchanges for complete states, at
-/// one address. Carries out what Membership asks for and reports what it learns; decides nothing.
+/// Runs the membership protocol on sockets: UDP datagrams carry probes and gossip, and short TCP exchanges
+/// carry complete states, both at one address. Agent sends what Membership asks for and reports its results;
+/// all decisions of the protocol are made in Membership.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,44 +19,44 @@
 
 namespace mothring::cluster {
 
-/// The state of an agent, for /metrics.
+/// Statistics of an agent, for /metrics.
 struct AgentStatistics : TrafficCounters {
     View view;
     std::uint64_t incarnation = 0;
     unsigned awareness = 0;
     bool superseded = false;
     Membership::Counters counters;
-    /// Over the last ten periods or more.
+    /// Average over a window of at least ten protocol periods.
     double bytes_sent_per_s = 0;
     std::vector<Claim> members;
 };
 
-/// One member of the fleet.
+/// Takes part in the protocol as one member of the fleet.
 class Agent {
 public:
-    /// Whom it reports to; any of them may be empty.
+    /// Functions called on events; each may be empty.
     struct Callbacks {
-        /// The view, whenever it is another.
+        /// Called when the number of present members or the quorum has changed.
         std::function<void(const View&)> view_changed;
-        /// What was learnt of a member, for the log.
+        /// Called when the state of a member has changed, for the log.
         std::function<void(const Effects::Change&)> member_changed;
-        /// @param from  the address of the sender, or "tcp".
+        /// @param from  the sender's address, or "tcp" for a state exchange.
         std::function<void(Rejection, const std::string& from)> rejected;
     };
 
-    /// Listens when it returns.
-    /// @param clock  all times are counted by it; the member's life and first incarnation are taken from it
-    ///     (Unix ms).
-    /// @throws boost::system::system_error where it can't listen.
+    /// Binds the sockets and starts the protocol.
+    /// @param clock  source of all times; the instance ID and the first incarnation are derived from it (Unix
+    ///     ms).
+    /// @throws boost::system::system_error if an address can't be bound.
     Agent(boost::asio::io_context& io, Settings settings, std::string name, std::string version,
           Callbacks callbacks, net::Clock clock = net::Clock());
     ~Agent();
     Agent(const Agent&) = delete;
     Agent& operator=(const Agent&) = delete;
 
-    /// Tells other members at once that this one leaves; it answers no probe any more.
+    /// Notifies other members that this member leaves. It answers no probe after that.
     void leave();
-    /// Where it listens, for UDP and TCP.
+    /// Returns the listening address, which is the same for UDP and TCP.
     Udp::endpoint address() const;
     AgentStatistics statistics() const;
 
--- a/src/cluster/anti_entropy.cpp
+++ b/src/cluster/anti_entropy.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-// Fraction of the interval by which it varies either way, so that exchanges do not synchronise.
+// Fraction by which the interval varies in either direction, so that exchanges of different members do not
+// synchronise.
 constexpr double kJitterFraction = 0.25;
-// Of the interval, at the least, until the first exchange.
+// Minimum delay of the first exchange, as a fraction of the interval.
 constexpr double kFirstFraction = 0.5;
 
 }  // namespace
--- a/src/cluster/anti_entropy.hpp
+++ b/src/cluster/anti_entropy.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Anti-entropy: exchanges of the complete state with one member at a time, which recover what gossip lost
-/// and heal partitions. Here are the schedule, the choice of partners and the digest that shows whether there
-/// is anything to exchange.
+/// Anti-entropy: exchanges of the complete state with one member at a time. They recover updates that gossip
+/// lost and heal partitions. This file has the schedule, the choice of partners, and the digest by which two
+/// members see whether their states differ.
 #pragma once
 
 #include <cstddef>
@@ -15,15 +15,16 @@
 
 namespace mothring::cluster {
 
-/// When the next exchange is due.
+/// Schedules the exchanges.
 class AntiEntropy {
 public:
     /// Sets the time of the next exchange.
     void begin_at(Millis at) { next_at_ = at; }
-    /// Schedules the first exchange, at random, so that members started together do not exchange together.
+    /// Schedules the first exchange at a random time, so that members started together do not all exchange at
+    /// once.
     void schedule_first(Millis now, const Parameters& parameters, std::mt19937_64& random);
     /// Schedules the next exchange.
-    /// @param members  present in the fleet.
+    /// @param members  number of members present in the fleet.
     void schedule_next(Millis now, const Parameters& parameters, std::size_t members,
                        std::mt19937_64& random);
     Millis next() const { return next_at_; }
@@ -32,11 +33,11 @@
     Millis next_at_ = 0;
 };
 
-/// Chooses whom to exchange with: one present member, and one of those that died, as it may only have been
-/// cut off.
+/// Chooses the partners of an exchange: one present member and one dead member, as the dead one may only have
+/// been partitioned from this member.
 std::vector<std::string> choose_partners(const MemberTable& table, std::mt19937_64& random);
-/// A hash of the names and incarnations of the present members, whatever their order. Members that are gone
-/// do not count, as some tables hold them longer than others.
+/// Returns a hash of the names and incarnations of the present members, independent of their order. Dead
+/// members and members that left are excluded, because tables keep them for different times.
 std::uint64_t digest_of(const std::vector<Claim>& claims);
 
 }  // namespace mothring::cluster
--- a/src/cluster/claim.cpp
+++ b/src/cluster/claim.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t kFixedBytes = 32;  // of a claim in a message, besides its texts
+constexpr std::size_t kFixedBytes = 32;  // encoded size of a claim without its strings
 
 }  // namespace
 
--- a/src/cluster/claim.hpp
+++ b/src/cluster/claim.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// What members say of each other: SWIM's membership updates, with the order that decides which of two
-/// stands.
+/// Claims: SWIM's membership updates, and the precedence between two claims about the same member.
 #pragma once
 
 #include <cstddef>
@@ -9,39 +8,40 @@
 
 namespace mothring::cluster {
 
-/// The state of a member, in the order of precedence at one incarnation; the values are those on the wire.
+/// State of a member, in order of precedence at the same incarnation. The values are those on the wire.
 enum class State : std::uint8_t { alive, suspect, dead, left };
-/// As in the log.
+/// Returns the state's name as written to the log and /metrics.
 const char* name_of(State state);
-/// Alive, or suspected and not yet declared dead: it counts and is probed.
+/// Returns whether a member in this state counts as present and is probed: it is alive, or suspect and not
+/// yet declared dead.
 bool is_present(State state);
 
-/// What is said of a member, SWIM's update of the membership. The greater incarnation overrides the lesser,
-/// and only the member itself raises its incarnation. At the same incarnation the greater State overrides. So
-/// the order in which claims arrive does not matter. A restarted member has another `life` and a greater
-/// incarnation.
+/// A statement about a member: SWIM's membership update. The greater incarnation overrides the lesser, and
+/// only the member itself raises its incarnation. At the same incarnation the greater State overrides. The
+/// result is therefore independent of the order in which claims arrive. A restarted member has a new instance
+/// ID and a greater incarnation.
 struct Claim {
     std::string name;
     State state = State::alive;
     std::uint64_t incarnation = 0;
-    /// Identifies the member's process.
+    /// ID of the process instance.
     std::uint64_t instance_id = 0;
-    /// Where it listens for messages, as ADDRESS:PORT.
+    /// Address for messages, as ADDRESS:PORT.
     std::string udp;
-    /// Where it listens for state exchanges, as ADDRESS:PORT.
+    /// Address for state exchanges, as ADDRESS:PORT.
     std::string tcp;
-    /// Of the program that it runs.
+    /// Version of the program that the member runs.
     std::string version;
-    /// Who accuses it, where `state` is suspect or dead.
+    /// Member that raised the accusation, if `state` is suspect or dead.
     std::string by;
 };
 
-/// Whether `claim` takes the place of `held`, which is about the same member.
+/// Returns whether `claim` replaces `held`, which is about the same member.
 bool overrides(const Claim& claim, const Claim& held);
-/// Bytes of a claim as counted against Parameters::max_claim_bytes.
+/// Returns the size of a claim in bytes, as counted against Parameters::max_claim_bytes.
 std::size_t encoded_size(const Claim& claim);
-/// The claim as it is disseminated: only State::alive carries addresses and version, as nobody needs them of
-/// a member that may be gone.
+/// Returns the claim as it is disseminated. Addresses and version are kept only for State::alive, as they are
+/// not needed for other states.
 Claim compact(Claim claim);
 
 }  // namespace mothring::cluster
--- a/src/cluster/datagram_receiver.cpp
+++ b/src/cluster/datagram_receiver.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr int kMostDrained = 256;     // datagrams read before what is due is judged
-constexpr Millis kReceivePause = 20;  // when nothing can be received
+constexpr int kMaxDatagramsPerRead = 256;  // datagrams read before due actions are run
+constexpr Millis kReceivePause = 20;       // after a receive error that requires a pause
 
 }  // namespace
 
@@ -43,7 +43,7 @@
 }
 
 bool DatagramReceiver::drain() {
-    for (int i = 0; i < kMostDrained; ++i) {
+    for (int i = 0; i < kMaxDatagramsPerRead; ++i) {
         Udp::endpoint sender;
         error_code failed;
         const std::size_t size = socket_.receive_from(asio::buffer(buffer_), sender, 0, failed);
--- a/src/cluster/datagram_receiver.hpp
+++ b/src/cluster/datagram_receiver.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Reads datagrams from the member's UDP socket as they come.
+/// Receives datagrams from the member's UDP socket.
 #pragma once
 
 #include <array>
@@ -16,25 +16,25 @@
 
 namespace mothring::cluster {
 
-/// Reads until close(). Reads no more than a bounded number of datagrams at a time, and pauses where the
-/// machine can't receive.
+/// Receives datagrams until close(). The number of datagrams read at a time is bounded, and reading pauses
+/// after an error such as exhausted memory of the machine.
 class DatagramReceiver {
 public:
-    /// Whom it reports to.
+    /// Functions called on events.
     struct Hooks {
         std::function<void(std::span<const std::uint8_t>, const Udp::endpoint& sender)> received;
-        /// After the datagrams that were there.
+        /// Called after the available datagrams have been read.
         std::function<void()> drained;
     };
-    /// Keeps the receiver alive, and whatever it refers to, while it waits.
+    /// Keeps the receiver and the objects that it refers to alive while an operation is pending.
     using Self = std::shared_ptr<DatagramReceiver>;
 
-    /// @param socket  bound and non-blocking by start(); must outlive this.
+    /// @param socket  must be bound and non-blocking when start() is called, and must outlive the receiver.
     DatagramReceiver(boost::asio::io_context& io, Udp::socket& socket, Hooks hooks);
 
     static void start(Self self) { receive(std::move(self)); }
-    /// Reads what is there now.
-    /// @return whether more can be received as soon as it comes; else after a pause.
+    /// Reads the datagrams that are available now.
+    /// @return whether receiving can continue immediately; otherwise it must pause first.
     bool drain();
     /// Closes the socket.
     void close();
@@ -47,8 +47,8 @@
     Hooks hooks_;
     boost::asio::steady_timer pause_;
     net::FailurePace pace_;
-    /// A byte more than the longest, so that one that is too long is recognised.
-    std::array<std::uint8_t, Codec::kLongestDatagram + 1> buffer_{};
+    /// One byte more than the maximum, so that a datagram that is too long is recognised.
+    std::array<std::uint8_t, Codec::kMaxDatagramBytes + 1> buffer_{};
     bool closed_ = false;
 };
 
--- a/src/cluster/dissemination.hpp
+++ b/src/cluster/dissemination.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Dissemination (SWIM 4.1): the claims that are piggybacked on the messages of the failure detector.
+/// Dissemination (SWIM 4.1): the queue of claims that are piggybacked on the failure detector's messages.
 #pragma once
 
 #include <cstddef>
@@ -10,15 +10,15 @@
 
 namespace mothring::cluster {
 
-/// The claims to pass on; at most one for each member, the latest.
+/// Holds the claims to disseminate, at most one for each member: the latest.
 class DisseminationQueue {
 public:
-    /// Takes a claim, in place of an earlier one about the same member.
+    /// Adds a claim, which replaces an earlier one about the same member.
     void enqueue(const Claim& claim);
-    /// The claims for one message, the least transmitted first.
-    /// @param buddy  goes first, whatever its size (Lifeguard's buddy system). Null: none.
-    /// @param max_bytes  of all claims together, by encoded_size().
-    /// @param transmits  after so many a claim is dropped.
+    /// Returns the claims for one message, the least transmitted first.
+    /// @param buddy  claim that is sent first, whatever its size (Lifeguard's buddy system); may be null.
+    /// @param max_bytes  limit on the total of encoded_size().
+    /// @param transmits  number of transmissions after which a claim is dropped.
     std::vector<Claim> piggyback(const Claim* buddy, std::size_t max_bytes, unsigned transmits);
 
 private:
--- a/src/cluster/freshness_challenges.hpp
+++ b/src/cluster/freshness_challenges.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Challenges to senders of authentic messages that may be recordings (Unproven). A challenge is an ordinary
-/// ping whose sequence number nobody can foretell: whoever acknowledges just that number is present now. The
-/// number of challenges in any time is bounded, so that replayed messages can't make this member a source of
-/// traffic.
+/// Challenges to the senders of authentic messages that may be replayed (Unproven). A challenge is a ping
+/// with an unpredictable sequence number: an ack with that number shows that its sender is running now. The
+/// number of challenges is bounded in total and over time, so that replayed messages can't make this member a
+/// source of traffic.
 #pragma once
 
 #include <algorithm>
@@ -18,32 +18,33 @@
 
 namespace mothring::cluster {
 
-/// The challenges under way. It has no socket or clock.
+/// Holds the pending challenges. It uses no socket and no clock.
 class FreshnessChallenges {
 public:
-    /// Draws a sequence number uniformly from all of 64 bits, unpredictable to others.
+    /// Draws an unpredictable sequence number, uniformly from all 64-bit values.
     using DrawSequence = std::function<std::uint64_t()>;
-    /// Whose address a challenge goes to. Anybody may have chosen the address of a stranger; strangers have a
-    /// limit of their own, and can't use up the challenges to members.
-    enum class Receiver { member, stranger };
+    /// Whether the challenged address is the known address of a member. The sender of a replayed message can
+    /// choose an unknown address freely, so these have a limit of their own and can't use up the challenges
+    /// to members.
+    enum class Receiver { member, unknown };
 
-    static constexpr std::size_t kMostToMembers = 64;    // under way at a time
-    static constexpr std::size_t kMostToStrangers = 16;  // under way at a time
+    static constexpr std::size_t kMaxToMembers = 64;  // pending at a time
+    static constexpr std::size_t kMaxToUnknown = 16;  // pending at a time
 
-    /// @param lifetime  for an answer; no address is challenged more often.
+    /// @param lifetime  time allowed for an answer; an address is challenged at most once in this time.
     FreshnessChallenges(Millis lifetime, DrawSequence draw) : lifetime_(lifetime), draw_(std::move(draw)) {}
 
-    /// Begins a challenge to `name` at `address`.
-    /// @return the sequence number of the ping to send. None: a limit is reached.
+    /// Registers a challenge to `name` at `address`.
+    /// @return the sequence number of the ping to send, or none if a limit is reached.
     std::optional<std::uint64_t> issue(Millis now, const std::string& name, const std::string& address,
                                        Receiver receiver) {
         std::erase_if(challenges_, [&](const auto& entry) { return entry.second.ends_at <= now; });
-        if (challenges_.contains(address) || count(receiver) >= most(receiver)) return std::nullopt;
+        if (challenges_.contains(address) || count(receiver) >= limit_for(receiver)) return std::nullopt;
         const std::uint64_t sequence = draw_();
         challenges_[address] = {name, receiver, now + lifetime_, sequence};
         return sequence;
     }
-    /// Whether an ack by `name` answers a challenge to it that is under way; no other ack does after that.
+    /// Returns whether an ack by `name` answers a pending challenge to it. Each challenge is answered once.
     bool answer(Millis now, const std::string& name, std::uint64_t sequence) {
         for (auto& [address, challenge] : challenges_) {
             if (challenge.ends_at <= now || challenge.name != name || challenge.sequence != sequence)
@@ -57,13 +58,13 @@
 private:
     struct Challenge {
         std::string name;
-        Receiver receiver = Receiver::stranger;
+        Receiver receiver = Receiver::unknown;
         Millis ends_at = 0;
-        std::optional<std::uint64_t> sequence;  // none: answered
+        std::optional<std::uint64_t> sequence;  // none once answered
     };
 
-    static std::size_t most(Receiver receiver) {
-        return receiver == Receiver::member ? kMostToMembers : kMostToStrangers;
+    static std::size_t limit_for(Receiver receiver) {
+        return receiver == Receiver::member ? kMaxToMembers : kMaxToUnknown;
     }
     std::size_t count(Receiver receiver) const {
         const auto counted = [&](const auto& entry) { return entry.second.receiver == receiver; };
--- a/src/cluster/listening_sockets.cpp
+++ b/src/cluster/listening_sockets.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Attempts to find a port that is free for both UDP and TCP.
+/// Number of attempts to find a port that is free for both UDP and TCP.
 constexpr int kPortAttempts = 32;
 
 }  // namespace
@@ -26,7 +26,7 @@
         if (!may_be_free_elsewhere) throw boost::system::system_error(failed);
     }
     udp.non_blocking(true);
-    // Else Asio waits for the next connection where one has been aborted.
+    // Without this option Asio does not report an aborted connection, but waits for the next one.
     acceptor.set_option(asio::socket_base::enable_connection_aborted(true));
 }
 
--- a/src/cluster/listening_sockets.hpp
+++ b/src/cluster/listening_sockets.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The sockets of a member: UDP for messages, TCP for state exchanges, at one address and port.
+/// The sockets of a member: UDP for messages and TCP for state exchanges, at one address and port.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,13 +10,13 @@
 
 namespace mothring::cluster {
 
-/// Both sockets of a member; closed until listen().
+/// Holds both sockets of a member, which are closed until listen().
 struct ListeningSockets {
     explicit ListeningSockets(boost::asio::io_context& io) : udp(io), acceptor(io) {}
 
     /// Binds both sockets and listens.
-    /// @param bind  port 0: a port of the system's choice that is free for both.
-    /// @throws boost::system::system_error where an address can't be bound.
+    /// @param bind  address to bind; port 0 selects a port that is free for both UDP and TCP.
+    /// @throws boost::system::system_error if the address can't be bound.
     void listen(const Udp::endpoint& bind);
 
     Udp::socket udp;
--- a/src/cluster/local_health.hpp
+++ b/src/cluster/local_health.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Lifeguard's local health multiplier (4.1): how much reason this process has to doubt itself, rather than
-/// the members that do not answer it.
+/// Lifeguard's local health multiplier (4.1): a measure of how likely missing answers are the fault of this
+/// process, rather than of the members that do not answer.
 #pragma once
 
 #include <algorithm>
@@ -9,16 +9,17 @@
 
 namespace mothring::cluster {
 
-/// A score that missed answers and suspicions of this member raise, and answered probes lower.
+/// The local health score. Missed answers and suspicions of this member raise it, and answered probes lower
+/// it.
 class LocalHealth {
 public:
     explicit LocalHealth(unsigned max_score) : max_score_(static_cast<int>(max_score)) {}
 
-    /// Adds to the score, within 0 and the greatest.
+    /// Adds to the score, which is clamped to 0 and the maximum.
     void adjust(int change) { score_ = std::clamp(score_ + change, 0, max_score_); }
-    /// 0: there is no reason for doubt.
+    /// Returns the score; 0 is the best.
     unsigned score() const { return static_cast<unsigned>(score_); }
-    /// What the interval and the timeout of probes are multiplied by.
+    /// Returns the factor for the interval and the timeout of probes.
     Millis multiplier() const { return 1 + score_; }
 
 private:
--- a/src/cluster/member_table.cpp
+++ b/src/cluster/member_table.cpp
@@ -80,7 +80,8 @@
     return found;
 }
 
-// Called after every datagram: the present are counted once, and only where somebody is suspected.
+// This runs after every datagram, so the present members are counted only once, and only if any member is
+// suspected.
 Millis MemberTable::next_expiry(const Parameters& parameters) const {
     Millis at = std::numeric_limits<Millis>::infinity();
     const std::vector<const Member*> suspected = suspects();
--- a/src/cluster/member_table.hpp
+++ b/src/cluster/member_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The member table: what this member knows of every other one.
+/// The member table: the claims that this member holds about all others.
 #pragma once
 
 #include <cstddef>
@@ -16,71 +16,71 @@
 
 namespace mothring::cluster {
 
-/// How many members are in which state, as this member sees it.
+/// Number of members in each state, as this member sees them.
 struct View {
     std::size_t alive = 0;
     std::size_t suspect = 0;
     std::size_t dead = 0;
     std::size_t left = 0;
-    /// Those present, and those that died not long ago.
+    /// Present members and members that died recently.
     std::size_t expected = 0;
-    /// Whether the view is still kept up to date; not so once this member is superseded.
-    bool stands = true;
+    /// Whether the view is kept up to date; false after this member is superseded.
+    bool is_current = true;
     std::size_t present() const { return alive + suspect; }
-    /// Whether more than half of the expected members are present, so that quotas may be shared by their
-    /// count.
-    bool quorum() const { return stands && 2 * present() > expected; }
+    /// Returns whether more than half of the expected members are present. Quotas may then be divided by the
+    /// number of members.
+    bool quorum() const { return is_current && 2 * present() > expected; }
 };
 
-/// The record of another member.
+/// Record of another member.
 struct Member {
-    /// The claim that overrides all others.
+    /// Claim that overrides all others received.
     Claim claim;
-    /// When it came into its state.
+    /// Time at which the member entered its state.
     Millis since = 0;
-    /// Present exactly in State::suspect.
+    /// Set exactly in State::suspect.
     std::optional<Suspicion> suspicion{};
-    /// In State::dead: whether it still counts for the quorum.
+    /// In State::dead, whether the member still counts for the quorum.
     bool expected = true;
 };
 
-/// The other members by name. This member itself has no record but is counted.
+/// Holds the records of the other members by name. This member has no record but is counted.
 class MemberTable {
 public:
-    /// Null: there is no record.
+    /// Returns the record, or null if there is none.
     Member* find(const std::string& name);
     const Member* find(const std::string& name) const;
-    /// The record of a present member; null: it is not present.
+    /// Returns the record of a present member, or null.
     const Member* find_present(const std::string& name) const;
-    /// Adds a record for a name that has none yet.
+    /// Adds a record. The name must have none yet.
     Member& insert(Member member);
-    /// The number of records, also of members that are gone.
+    /// Returns the number of records, including those of dead members and members that left.
     std::size_t size() const { return members_.size(); }
     auto begin() { return members_.begin(); }
     auto end() { return members_.end(); }
     auto begin() const { return members_.begin(); }
     auto end() const { return members_.end(); }
 
-    /// The number of present members, this one included: the N of the timeouts and limits.
+    /// Returns the number of present members including this one: the N of the timeouts and limits.
     std::size_t present() const;
     View view() const;
-    /// Draws at most `count` present members other than `except`, in random order.
+    /// Draws at most `count` present members that are not in `except`, in random order.
     std::vector<std::string> sample(std::size_t count, const std::set<std::string>& except,
                                     std::mt19937_64& random) const;
-    /// The names of those in State::dead.
+    /// Returns the names of the members in State::dead.
     std::vector<std::string> dead() const;
-    /// When the first suspicion expires; infinite where nobody is suspected.
+    /// Returns the time at which the first suspicion expires; infinite if no member is suspected.
     Millis next_expiry(const Parameters& parameters) const;
-    /// The names of those whose suspicion has expired.
+    /// Returns the names of the members whose suspicion has expired.
     std::vector<std::string> expired_suspects(Millis now, const Parameters& parameters) const;
-    /// Whether `accuser` has accused a member that is still suspected.
+    /// Returns whether a suspicion raised or confirmed by `accuser` is pending.
     bool any_accused_by(const std::string& accuser) const;
-    /// The names of those that `accuser` has accused and that are still suspected.
+    /// Returns the names of the members with a pending suspicion raised or confirmed by `accuser`.
     std::vector<std::string> accused_by(const std::string& accuser) const;
-    /// Gives all suspects back the time for which this process did not listen.
+    /// Extends all suspicions by the time for which this process did not receive.
     void postpone_suspicions(Millis stalled);
-    /// Drops the records of members that left or died long ago. Those that have been dead for a while are no
-    /// longer expected.
+    /// Drops the records of members that left or died long ago. Members that have been dead for
+    /// Parameters::stable_periods are no longer expected.
     void expire(Millis now, const Parameters& parameters);
 
 private:
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -1,4 +1,4 @@
-// The protocol in time, and the messages. How claims change the table is in membership_claims.cpp.
+// Timed actions and messages of the protocol. membership_claims.cpp has the processing of claims.
 #include "cluster/membership.hpp"
 
 #include <algorithm>
@@ -9,9 +9,9 @@
 
 namespace {
 
-// Of the period: a tick later than this shows that this process was stalled.
+// Fraction of the period. A tick that is later than this shows that this process was stalled.
 constexpr double kStalledFraction = 0.5;
-// To each of those that this member accuses.
+// Number of pings per period to each member that this member accuses.
 constexpr double kAccusedPingsPerPeriod = 2;
 
 }  // namespace
@@ -28,7 +28,7 @@
 
 View Membership::view() const {
     View view = table_.view();
-    view.stands = !superseded();
+    view.is_current = !superseded();
     return view;
 }
 
@@ -51,11 +51,11 @@
 // ---- Time
 
 Millis Membership::next() const {
-    // Suspicions and probes that were under way stay in the tables, but nothing is due for them any more.
+    // After leaving or being superseded, pending suspicions and probes stay in the tables but need no action.
     if (is_silent()) return anti_entropy_.next();
     const Millis at = std::min({prober_.next(), probe_relay_.next(), anti_entropy_.next()});
     const Millis expiry = table_.next_expiry(parameters_);
-    if (std::isinf(expiry)) return at;  // nobody is suspected, so nobody is accused
+    if (std::isinf(expiry)) return at;  // no suspicion, so no accused member to ping
     const Millis ping = table_.any_accused_by(self_.name) ? next_accused_ping_ : expiry;
     return std::min({at, expiry, ping});
 }
@@ -66,7 +66,7 @@
         return;
     }
     if (phase_ == Phase::starting) start(now);
-    make_up_for_stall(now);
+    compensate_stall(now);
     for (const ProbeRelay::Request& request : probe_relay_.take_nacks(now))
         answer(Message::Kind::nack, request, effects);
     if (Prober::Probe* const probe = prober_.take_timeout(now)) probe_indirectly(*probe, effects);
@@ -80,15 +80,17 @@
 void Membership::start(Millis now) {
     phase_ = Phase::running;
     started_at_ = now;
-    // Spread over a period, so that members started together do not probe together.
+    // The first probe is at a random time of a period, so that members started together do not all probe at
+    // once.
     std::uniform_real_distribution<double> fraction(0, 1);
     prober_.begin_at(now + parameters_.period * fraction(random_));
     anti_entropy_.schedule_first(now, parameters_, random_);
     dissemination_.enqueue(self_);
 }
 
-// What others sent while this process was stalled is unread: that time is no reason to suspect anybody.
-void Membership::make_up_for_stall(Millis now) {
+// Messages that arrived during a stall of this process are still unread, so the stalled time must not count
+// against any other member.
+void Membership::compensate_stall(Millis now) {
     const Millis late = now - next();
     if (late <= parameters_.period * kStalledFraction) return;
     ++counters_.late_ticks;
@@ -99,7 +101,7 @@
     probe_relay_.postpone(late);
 }
 
-// There is nothing to do any more; the ticks go on.
+// Schedules ticks that do nothing, so that next() stays in the future.
 void Membership::schedule_idle_tick(Millis now) {
     prober_.begin_at(now + parameters_.period);
     anti_entropy_.begin_at(now + parameters_.period);
@@ -132,8 +134,9 @@
     apply(now, claim, effects);
 }
 
-// The ping carries the accusation (the buddy system), and its ack the refutation. Under loss the probes of
-// the round are too rare for that in a large fleet, and gossip alone may not get through in time both ways.
+// Pings the members that this member accuses. The ping carries the accusation (buddy system), and its ack
+// carries the refutation. In a large fleet with packet loss, regular probes are too rare for this, and gossip
+// alone may not get through in time in both directions.
 void Membership::ping_accused(Millis now, Effects& effects) {
     next_accused_ping_ = now + parameters_.period / kAccusedPingsPerPeriod;
     for (const std::string& name : table_.accused_by(self_.name)) send_ping(name, ++sequence_, effects);
@@ -146,7 +149,7 @@
         Claim claim = member.claim;
         claim.state = State::dead;
         claim.by = self_.name;
-        declare_gone(now, member, claim, effects);
+        declare_dead_or_left(now, member, claim, effects);
     }
 }
 
@@ -171,14 +174,15 @@
 
 // ---- Messages
 
-// The claim that the receiver is suspect or dead goes first, so that it can refute.
+// A claim that the receiver is suspect or dead is placed first in the message, so that the receiver can
+// refute it.
 void Membership::send(const std::string& receiver, const std::string& address, Message message,
                       Effects& effects) {
     const Member* const member = table_.find(receiver);
-    const bool is_doubted =
+    const bool is_suspect_or_dead =
         member && (member->claim.state == State::suspect || member->claim.state == State::dead);
     message.claims =
-        dissemination_.piggyback(is_doubted ? &member->claim : nullptr, parameters_.max_claim_bytes,
+        dissemination_.piggyback(is_suspect_or_dead ? &member->claim : nullptr, parameters_.max_claim_bytes,
                                  parameters_.transmits(table_.present()));
     effects.sends.push_back({receiver, address, std::move(message)});
 }
@@ -188,13 +192,13 @@
 }
 
 void Membership::answer(Message::Kind kind, const ProbeRelay::Request& request, Effects& effects) {
-    send(request.asker, request.address, {kind, request.asked_sequence, self_.name, request.asker, {}},
-         effects);
+    send(request.requester, request.address,
+         {kind, request.requester_sequence, self_.name, request.requester, {}}, effects);
 }
 
 void Membership::receive(Millis now, const Message& message, const std::string& address, Effects& effects) {
     if (superseded() || message.from == self_.name) {
-        // Another process with this member's name: only what it claims of the name counts.
+        // Another process has this member's name, so only its claims about the name are processed.
         for (const Claim& claim : message.claims)
             if (claim.name == self_.name) apply_to_self(now, claim, effects);
         return;
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// Which sidecars are present: a SWIM failure detector with gossip (Das, Gupta, Motivala, "SWIM:
+/// Membership of the fleet of sidecars: a SWIM failure detector with gossip (Das, Gupta, Motivala, "SWIM:
 /// Scalable Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002) and the Lifeguard
 /// refinements (Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
-/// Detection", DSN-W 2018). It has no socket, clock or thread, so that the same code runs in a sidecar and in
-/// a simulated fleet. Times are milliseconds on a clock that never goes back.
+/// Detection", DSN-W 2018). It uses no socket, clock or thread, so that the same code runs in a sidecar and
+/// in a simulated fleet. Times are milliseconds on a monotonic clock.
 ///
-/// This class puts the parts of the protocol together: the member table, the prober, the relay of indirect
-/// probes, the dissemination queue and anti-entropy, each in a file of its own.
+/// Membership combines the parts of the protocol: the member table, the prober, the relay of indirect probes,
+/// the dissemination queue and anti-entropy, each in a file of its own.
 #pragma once
 
 #include <cstdint>
@@ -27,58 +27,60 @@
 
 namespace mothring::cluster {
 
-/// One member's side of the protocol. What it wants done and what it has learnt is added to the `effects`
-/// given. It never throws because of what others send.
+/// Runs one member's side of the protocol. Its functions append the messages to send and the changes found to
+/// the given `effects`. Input from other members never makes it throw.
 class Membership {
 public:
-    /// Counts since the start.
+    /// Counters since the start.
     struct Counters {
         std::uint64_t probes = 0;
         std::uint64_t probes_failed = 0;
         std::uint64_t suspicions = 0;
         /// Suspicions that the suspect refuted.
         std::uint64_t refuted = 0;
-        /// Members that this one declared dead.
+        /// Members that this member declared dead.
         std::uint64_t deaths = 0;
-        /// Claims that this member is suspected or dead, which it refuted.
+        /// Claims that this member is suspect or dead, which it refuted.
         std::uint64_t accused = 0;
-        /// Times that this process was found to have been stalled.
+        /// Number of detected stalls of this process.
         std::uint64_t late_ticks = 0;
     };
 
-    /// @param self  its name, addresses, version and life, and its first incarnation.
-    /// @param seed  of the random choices, which are the same for the same seed and calls.
+    /// @param self  claim with this member's name, addresses, version, process instance and first
+    ///     incarnation.
+    /// @param seed  seed of the random choices, which are reproducible for the same seed and calls.
     Membership(Claim self, Parameters parameters, std::uint64_t seed);
 
-    /// Does what is due. Has to be called at next(); a call much later shows that this process was stalled.
+    /// Performs the actions that are due. It must be called at next(); a call much later is taken as a stall
+    /// of this process.
     void tick(Millis now, Effects& effects);
-    /// When tick() has something to do; in the past where it is overdue.
+    /// Returns the time at which tick() must be called next; it is in the past if the call is overdue.
     Millis next() const;
-    /// Takes a message.
-    /// @param address  the sender's, to which an answer goes.
+    /// Processes a message.
+    /// @param address  the sender's address, to which an answer is sent.
     void receive(Millis now, const Message& message, const std::string& address, Effects& effects);
-    /// Takes the complete state of another member, as members() gives it. Whom it holds for dead is only
-    /// suspected here, and may refute.
+    /// Merges the complete state of another member, as returned by its members(). Members that are dead in
+    /// that state become only suspect here, so that they can refute.
     void merge(Millis now, const std::vector<Claim>& claims, const std::string& sender, Effects& effects);
-    /// Of the complete state; equal where two members have nothing to exchange.
+    /// Returns a digest of the complete state. It is equal for two members that have nothing to exchange.
     std::uint64_t digest() const;
-    /// Leaves the fleet: notifies some members at once, and answers no probe any more.
+    /// Leaves the fleet. Some members are notified at once, and probes are no longer answered.
     void leave(Millis now, Effects& effects);
 
     View view() const;
-    /// Periods between state exchanges, on average.
+    /// Returns the average number of periods between state exchanges.
     double sync_periods() const;
-    /// The claim of this member about itself.
+    /// Returns the claim of this member about itself.
     const Claim& self() const { return self_; }
-    /// Whether another process has this member's name; this one sends nothing any more.
+    /// Returns whether another process has taken over this member's name. This member then sends nothing.
     bool superseded() const { return phase_ == Phase::superseded; }
-    /// Whether it sends nothing any more: it has left or is superseded.
+    /// Returns whether this member sends nothing because it has left or is superseded.
     bool is_silent() const { return phase_ == Phase::left || phase_ == Phase::superseded; }
-    /// The claims about all members, this one's first.
+    /// Returns the claims about all members; the first is that of this member.
     std::vector<Claim> members() const;
-    /// The claim about a member, or this one. None: not known.
+    /// Returns the claim about a member or about this member itself, or none if the name is unknown.
     std::optional<Claim> member(const std::string& name) const;
-    /// The local health score, 0 the best (Lifeguard, 4.1).
+    /// Returns the local health score; 0 is the best (Lifeguard, 4.1).
     unsigned awareness() const { return local_health_.score(); }
     const Counters& counters() const { return counters_; }
     const Parameters& parameters() const { return parameters_; }
@@ -88,12 +90,12 @@
         starting,   // before the first tick
         running,    // takes part in the protocol
         left,       // has left the fleet
-        superseded  // another process has the name
+        superseded  // another process has taken over the name
     };
 
     // Time (membership.cpp)
     void start(Millis now);
-    void make_up_for_stall(Millis now);
+    void compensate_stall(Millis now);
     void schedule_idle_tick(Millis now);
     void begin_probe(Millis now, Effects& effects);
     void probe_indirectly(Prober::Probe& probe, Effects& effects);
@@ -110,14 +112,14 @@
     // Claims (membership_claims.cpp)
     void apply(Millis now, const Claim& claim, Effects& effects);
     void apply_to_self(Millis now, const Claim& claim, Effects& effects);
-    void contest_name(Millis now, const Claim& claim, Effects& effects);
-    bool is_earlier_life(Millis now, const Claim& claim) const;
+    void resolve_name_conflict(Millis now, const Claim& claim, Effects& effects);
+    bool is_earlier_instance(Millis now, const Claim& claim) const;
     void refute(const Claim& claim, Effects& effects);
     void add(Millis now, const Claim& claim, Effects& effects);
     void revive(Millis now, Member& member, const Claim& claim, Effects& effects);
     void confirm(Member& member, const Claim& claim);
     void suspect(Millis now, Member& member, const Claim& claim, Effects& effects);
-    void declare_gone(Millis now, Member& member, const Claim& claim, Effects& effects);
+    void declare_dead_or_left(Millis now, Member& member, const Claim& claim, Effects& effects);
 
     Claim self_;
     Parameters parameters_;
@@ -130,9 +132,9 @@
     AntiEntropy anti_entropy_;
     std::uint64_t sequence_ = 0;  // of the last ping sent
     Millis next_accused_ping_ = 0;
-    Millis started_at_ = 0;  // the first tick
+    Millis started_at_ = 0;  // of the first tick
     Phase phase_ = Phase::starting;
-    bool has_merged_ = false;  // another member's state
+    bool has_merged_ = false;  // whether a state of another member has been merged
     Counters counters_;
 };
 
--- a/src/cluster/membership_claims.cpp
+++ b/src/cluster/membership_claims.cpp
@@ -1,4 +1,4 @@
-// How claims change what this member holds of the others and says of itself.
+// Processing of claims about other members and about this member.
 #include <algorithm>
 
 #include "cluster/membership.hpp"
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Intervals between state exchanges in which claims of an earlier life may still arrive.
+// Number of intervals between state exchanges during which claims of an earlier process instance may still
+// arrive.
 constexpr double kSettlingSyncs = 2;
 
 }  // namespace
@@ -41,7 +42,7 @@
             return suspect(now, *member, claim, effects);
         case State::dead:
         case State::left:
-            return declare_gone(now, *member, claim, effects);
+            return declare_dead_or_left(now, *member, claim, effects);
     }
 }
 
@@ -50,14 +51,14 @@
 void Membership::apply_to_self(Millis now, const Claim& claim, Effects& effects) {
     if (is_silent() || claim.incarnation < self_.incarnation) return;
     if (claim.state != State::alive) return refute(claim, effects);
-    if (claim.instance_id != self_.instance_id) contest_name(now, claim, effects);
+    if (claim.instance_id != self_.instance_id) resolve_name_conflict(now, claim, effects);
 }
 
-// Another life has the name. An earlier one is over; of two with the same incarnation the lesser life is
-// over.
-void Membership::contest_name(Millis now, const Claim& claim, Effects& effects) {
+// Decides between two process instances with the same name. An earlier instance has ended. Of two instances
+// with the same incarnation, the one with the greater ID keeps the name.
+void Membership::resolve_name_conflict(Millis now, const Claim& claim, Effects& effects) {
     const bool wins_tie = claim.incarnation == self_.incarnation && self_.instance_id > claim.instance_id;
-    if (wins_tie || is_earlier_life(now, claim)) {
+    if (wins_tie || is_earlier_instance(now, claim)) {
         self_.incarnation = claim.incarnation + 1;
         dissemination_.enqueue(self_);
         return;
@@ -67,19 +68,20 @@
     effects.changes.push_back({"superseded", self_.name, claim.incarnation, ""});
 }
 
-// Before this life has merged any state it is the later one. Afterwards claims of an earlier life may still
-// arrive, through members that were not merged with at first. Where the wall clock was stepped back in
-// between, the earlier life has the greater incarnation or life; but it had the address that this process has
-// now. This holds for a limited time only, as an advertised address may pass from process to process; by then
-// complete states have reached everybody.
-bool Membership::is_earlier_life(Millis now, const Claim& claim) const {
+// Returns whether a claim is from an earlier process instance of this member. Before this instance has merged
+// any state, it is the later one. Afterwards, claims of an earlier instance may still arrive through members
+// that it has not merged with. If the wall clock was stepped back in between, the earlier instance has the
+// greater incarnation or ID, but it had the address that this process has now. The address is considered for
+// a limited time only, because an advertised address may pass to another process. By the end of that time,
+// complete states have reached all members.
+bool Membership::is_earlier_instance(Millis now, const Claim& claim) const {
     if (!has_merged_) return true;
     const Millis settled_at = started_at_ + kSettlingSyncs * sync_periods() * parameters_.period;
     return claim.udp == self_.udp && (phase_ == Phase::starting || now < settled_at);
 }
 
-// Answers a claim that this member, or an earlier life of it, is not alive, by a greater incarnation
-// (SWIM 4.2).
+// Refutes a claim that this member, or an earlier process instance of it, is not alive, with a greater
+// incarnation (SWIM 4.2).
 void Membership::refute(const Claim& claim, Effects& effects) {
     self_.incarnation = claim.incarnation + 1;
     if (claim.instance_id == self_.instance_id) {
@@ -92,7 +94,7 @@
 
 // ---- The others
 
-// A member that is not known and gone already is ignored.
+// Adds an unknown member. A claim that an unknown member is dead or has left is ignored.
 void Membership::add(Millis now, const Claim& claim, Effects& effects) {
     if (!is_present(claim.state) || claim.udp.empty() || table_.size() >= parameters_.max_members) return;
     Member& member = table_.insert({claim, now});
@@ -105,17 +107,17 @@
 
 void Membership::revive(Millis now, Member& member, const Claim& claim, Effects& effects) {
     const State before = member.claim.state;
-    const bool is_other_life = claim.instance_id != member.claim.instance_id;
-    if (before == State::suspect && !is_other_life) ++counters_.refuted;
+    const bool is_other_instance = claim.instance_id != member.claim.instance_id;
+    if (before == State::suspect && !is_other_instance) ++counters_.refuted;
     member = Member{claim, now};
-    if (!is_present(before) || is_other_life)
+    if (!is_present(before) || is_other_instance)
         effects.changes.push_back({"rejoined", claim.name, claim.incarnation, ""});
     else if (before == State::suspect)
         effects.changes.push_back({"refuted", claim.name, claim.incarnation, ""});
     dissemination_.enqueue(claim);
 }
 
-// Only as many accusations are passed on as shorten the timeout.
+// Only accusations that shorten the timeout are disseminated further.
 void Membership::confirm(Member& member, const Claim& claim) {
     const unsigned wanted = parameters_.confirmations_wanted(table_.present());
     if (member.suspicion->confirm(claim.by, wanted)) dissemination_.enqueue(claim);
@@ -133,7 +135,7 @@
     if (claim.by == self_.name) next_accused_ping_ = std::max(next_accused_ping_, now);
 }
 
-void Membership::declare_gone(Millis now, Member& member, const Claim& claim, Effects& effects) {
+void Membership::declare_dead_or_left(Millis now, Member& member, const Claim& claim, Effects& effects) {
     member.claim.incarnation = claim.incarnation;
     member.claim.state = claim.state;
     member.claim.by = claim.by;
--- a/src/cluster/message.hpp
+++ b/src/cluster/message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What goes between members in datagrams, and what the membership asks of whoever carries it out.
+/// Messages between members in datagrams, and the effects that Membership returns to its caller.
 #pragma once
 
 #include <cstdint>
@@ -10,50 +10,52 @@
 
 namespace mothring::cluster {
 
-/// A probe, an answer to one, or gossip alone; each carries piggybacked claims.
+/// A probe, an answer to a probe, or gossip; each carries piggybacked claims.
 struct Message {
     /// The values are those on the wire.
     enum class Kind : std::uint8_t {
         ping,          ///< A probe.
         ack,           ///< The answer to a ping.
-        ping_request,  ///< Asks a member to probe another: SWIM's ping-req, an indirect probe.
-        nack,          ///< That member has probed without an answer yet (Lifeguard).
-        gossip         ///< Claims alone.
+        ping_request,  ///< Requests an indirect probe from another member (SWIM's ping-req).
+        nack,          ///< Reports that the indirect probe has had no answer yet (Lifeguard).
+        gossip         ///< Carries only claims.
     };
     Kind kind = Kind::ping;
-    /// Identifies the probe; chosen by the member that the answer is for.
+    /// ID of the probe, chosen by the member that receives the answer.
     std::uint64_t sequence = 0;
-    /// The sender.
+    /// Name of the sender.
     std::string from;
-    /// Whom a ping is meant for, or a ping_request is about.
+    /// Name of the member that a ping is meant for or that a ping_request is about.
     std::string target;
     std::vector<Claim> claims;
 };
 
-/// What the membership wants done, and what it has learnt.
+/// Messages and state exchanges that the caller must carry out, and changes to report.
 struct Effects {
     /// A message to send.
     struct Send {
-        /// The member; empty where only the address is known.
+        /// Name of the receiving member; empty if only the address is known.
         std::string to;
-        /// Of an answer: where the request came from. Empty: the member's own.
+        /// Address from which the request came, if the message is an answer. If empty, the member's own
+        /// address is used.
         std::string address;
         Message message;
     };
-    /// What has changed in the view of a member.
+    /// A change in the state of a member.
     struct Change {
-        /// joined, suspect, refuted (by the suspect), dead, left, rejoined (another life), superseded
-        /// (another process has this member's name), accused (this member is suspected, and refutes it).
+        /// One of: joined, suspect, refuted (by the suspect), dead, left, rejoined (another process
+        /// instance), superseded (another process has this member's name), accused (this member is suspected
+        /// and refutes it).
         std::string what;
-        /// The member.
+        /// Name of the member.
         std::string name;
         std::uint64_t incarnation = 0;
-        /// Who accuses it; else empty.
+        /// Member that raised the accusation; empty for other changes.
         std::string by;
     };
     std::vector<Send> sends;
     std::vector<Change> changes;
-    /// Members to exchange the complete state with.
+    /// Names of the members to exchange the complete state with.
     std::vector<std::string> syncs;
 };
 
--- a/src/cluster/message_verifier.hpp
+++ b/src/cluster/message_verifier.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Decides which messages of others may be acted on, and challenges the senders of those that may be
-/// recordings.
+/// Decides which received messages may be processed, and challenges the senders of messages that may be
+/// replayed.
 #pragma once
 
 #include <cstddef>
@@ -21,10 +21,10 @@
 
 namespace mothring::cluster {
 
-/// Opens the envelopes of what was received, and counts what is rejected.
+/// Opens the envelopes of received messages, and counts the rejected ones.
 class MessageVerifier {
 public:
-    /// What it goes by. All references must outlive the verifier.
+    /// Objects that the verifier uses. All references must outlive it.
     struct Inputs {
         const net::Clock& clock;
         const Membership& membership;
@@ -32,35 +32,34 @@
         Codec& codec;
         TrafficCounters& traffic;
     };
-    /// What it reports and sends.
+    /// Functions called to report and to send.
     struct Hooks {
-        /// @param from  the address of the sender, or "tcp".
+        /// @param from  the sender's address, or "tcp" for a state exchange.
         std::function<void(Rejection, const std::string& from)> rejected;
         std::function<void(const Message&, const Udp::endpoint& address)> send;
     };
 
-    /// @param lifetime  for an answer to a challenge.
+    /// @param lifetime  time allowed for the answer to a challenge.
     MessageVerifier(const Inputs& inputs, Millis lifetime, Hooks hooks);
     MessageVerifier(const MessageVerifier&) = delete;
     MessageVerifier& operator=(const MessageVerifier&) = delete;
 
-    /// Opens an envelope. Where its sender's life has yet to be proven, the sender is challenged.
-    /// @param longest  bytes that the envelope may have.
-    /// @param from  the address of the sender, or "tcp"; for the log.
-    /// @param sender  where a challenge goes. None: not known; it goes where the sender's name is known to
-    ///     listen.
-    /// @return what may be acted on. None: it was rejected.
-    std::optional<Payload> open(std::span<const std::uint8_t> bytes, std::size_t longest,
+    /// Opens an envelope. If the sender's process instance must be proven first, the sender is challenged.
+    /// @param max_bytes  maximum size of the envelope.
+    /// @param from  the sender's address, or "tcp" for a state exchange; for the log.
+    /// @param sender  address to challenge. If there is none, the known address of the named sender is used.
+    /// @return the payload if it may be processed, or none if it was rejected.
+    std::optional<Payload> open(std::span<const std::uint8_t> bytes, std::size_t max_bytes,
                                 const std::string& from, const std::optional<Udp::endpoint>& sender);
     /// Counts and reports a rejected message.
-    void reject(Rejection why, const std::string& from);
+    void reject(Rejection reason, const std::string& from);
 
 private:
-    bool proves_its_life(const Unproven& unproven);
+    bool proves_freshness(const Unproven& unproven);
     void challenge(const std::string& name, const std::optional<Udp::endpoint>& sender);
     std::uint64_t unpredictable_sequence();
 
-    Inputs in_;
+    Inputs inputs_;
     Hooks hooks_;
     std::random_device entropy_;
     FreshnessChallenges challenges_;
--- a/src/cluster/parameters.cpp
+++ b/src/cluster/parameters.cpp
@@ -7,16 +7,16 @@
 
 Millis Parameters::suspicion_timeout(std::size_t members, unsigned confirmations) const {
     const double log = std::max(1.0, std::log10(std::max<double>(1, static_cast<double>(members))));
-    const Millis least = suspicion_factor * log * period;
-    const Millis most = max_suspicion_factor * least;
+    const Millis minimum = suspicion_factor * log * period;
+    const Millis maximum = max_suspicion_factor * minimum;
     const unsigned wanted = confirmations_wanted(members);
-    if (wanted == 0) return least;
+    if (wanted == 0) return minimum;
     const double fraction = std::log(confirmations + 1.0) / std::log(wanted + 1.0);
-    return std::max(least, most - (most - least) * fraction);
+    return std::max(minimum, maximum - (maximum - minimum) * fraction);
 }
 
-// As many as can come from others than the accuser, the suspect and this member, two at most in a small
-// fleet (memberlist's documentation: the multiplier less two).
+// The number of confirmations that can come from members other than the accuser, the suspect and this member,
+// but at most two in a small fleet (memberlist's documentation: the multiplier less two).
 unsigned Parameters::confirmations_wanted(std::size_t members) const {
     const auto wanted = static_cast<unsigned>(std::max(0.0, suspicion_factor - 2));
     return members < wanted + 2 ? 0 : wanted;
--- a/src/cluster/parameters.hpp
+++ b/src/cluster/parameters.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The constants of the protocol, and the timeouts and limits that follow from them and the size of the
-/// fleet.
+/// The constants of the protocol, and the timeouts and limits that are derived from them and from the size of
+/// the fleet.
 #pragma once
 
 #include <cstddef>
@@ -19,43 +19,45 @@
 constexpr double kDefaultReconnectPeriods = 86400;
 constexpr double kDefaultMinSyncPeriods = 8;
 
-/// The protocol's constants. Names in parentheses are those of the papers.
+/// The protocol's constants. The papers' names are given in parentheses.
 struct Parameters {
-    /// Of the probes (SWIM's T').
+    /// Interval between probes in ms (SWIM's T').
     Millis period = kDefaultPeriod;
-    /// Of the period, for a direct ack; the rest is for indirect probes.
+    /// Fraction of the period that is allowed for a direct ack; the rest is for indirect probes.
     double timeout_fraction = 0.5;
-    /// Members that are asked to probe on this one's behalf (SWIM's k).
+    /// Number of members that are asked for an indirect probe (SWIM's k).
     unsigned indirect_probes = 3;
-    /// The least suspicion timeout is this times log10 N periods (Lifeguard's alpha).
+    /// The minimum suspicion timeout is this times log10 N periods (Lifeguard's alpha).
     double suspicion_factor = kDefaultSuspicionFactor;
-    /// The greatest suspicion timeout is this times the least (Lifeguard's beta).
+    /// The maximum suspicion timeout is this times the minimum (Lifeguard's beta).
     double max_suspicion_factor = kDefaultMaxSuspicionFactor;
-    /// A claim is passed on this times log10(N+1) times (SWIM's lambda).
+    /// A claim is transmitted this times log10(N+1) times (SWIM's lambda).
     unsigned retransmit_factor = 4;
-    /// Of the local health score (Lifeguard).
+    /// Maximum of the local health score (Lifeguard).
     unsigned max_awareness = kDefaultMaxAwareness;
-    /// Of the claims in a message.
+    /// Maximum total size of the claims in a message.
     std::size_t max_claim_bytes = kDefaultMaxClaimBytes;
-    /// Records held.
+    /// Maximum number of records in the member table.
     std::size_t max_members = kDefaultMaxMembers;
-    /// For so long a member that died counts as expected, and one that left is remembered.
+    /// Time in periods for which a dead member counts as expected and a member that left is remembered.
     double stable_periods = kDefaultStablePeriods;
-    /// For so long a member that died is called, to heal a partition.
+    /// Time in periods for which state exchanges with a dead member are attempted, to heal a partition.
     double reconnect_periods = kDefaultReconnectPeriods;
-    /// Between state exchanges, at the least. Of more than twice as many members N each waits N/2 periods, so
-    /// that its traffic does not grow with N.
+    /// Minimum number of periods between state exchanges. In fleets of more than twice as many members N,
+    /// each member waits N/2 periods, so that its traffic does not grow with N.
     double min_sync_periods = kDefaultMinSyncPeriods;
 
-    /// The suspicion timeout (Lifeguard, 4.2); it falls from the greatest to the least with confirmations.
-    /// @param members  present, this one included.
-    /// @param confirmations  by others than the first accuser.
+    /// Returns the suspicion timeout (Lifeguard, 4.2). It falls from the maximum to the minimum with
+    /// confirmations.
+    /// @param members  number of present members including this one.
+    /// @param confirmations  number of accusations by members other than the first accuser.
     Millis suspicion_timeout(std::size_t members, unsigned confirmations) const;
-    /// Confirmations that bring the timeout to its least; 0 where the fleet is too small for any.
+    /// Returns the number of confirmations that reduce the timeout to its minimum; 0 if the fleet is too
+    /// small for any.
     unsigned confirmations_wanted(std::size_t members) const;
-    /// Messages that a claim is piggybacked on before it is dropped.
+    /// Returns the number of messages that a claim is piggybacked on before it is dropped.
     unsigned transmits(std::size_t members) const;
-    /// Periods between state exchanges, on average.
+    /// Returns the average number of periods between state exchanges.
     double sync_periods(std::size_t members) const;
 };
 
--- a/src/cluster/payload.cpp
+++ b/src/cluster/payload.cpp
@@ -12,8 +12,8 @@
 constexpr std::uint8_t kSyncKind = 255;
 constexpr std::uint32_t kPayloadItems = 7;
 constexpr std::uint32_t kClaimItems = 8;
-constexpr std::size_t kLongestText = 255;  // bytes
-constexpr std::size_t kDeepestNesting = 4;
+constexpr std::size_t kMaxTextBytes = 255;  // bytes
+constexpr std::size_t kMaxNesting = 4;
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
@@ -32,39 +32,49 @@
     packer.pack(origin.name).pack(origin.instance_id).pack(origin.counter).pack(kind);
 }
 
-// Reads an array's items in turn; throws where one is missing or of another type.
+// Reads the items of an array in order. Throws if an item is missing or has another type.
 class Reader {
 public:
-    explicit Reader(const msgpack::object& object) {
-        if (object.type != msgpack::type::ARRAY) throw std::invalid_argument("no array");
-        next_ = object.via.array.ptr;
+    /// @param structure  name of the encoded structure, for error messages.
+    Reader(const msgpack::object& object, const char* structure) : structure_(structure) {
+        if (object.type != msgpack::type::ARRAY) throw std::invalid_argument(structure_ + " is not an array");
+        begin_ = object.via.array.ptr;
+        next_ = begin_;
         end_ = next_ + object.via.array.size;
     }
     const msgpack::object& object() {
-        if (next_ == end_) throw std::invalid_argument("too short");
+        if (next_ == end_)
+            throw std::invalid_argument(structure_ + " is truncated: it has only " +
+                                        std::to_string(end_ - begin_) + " items");
         return *next_++;
     }
     std::uint64_t number() { return object().as<std::uint64_t>(); }
     bool flag() { return object().as<bool>(); }
     std::string text() {
         auto text = object().as<std::string>();
-        if (text.size() > kLongestText) throw std::invalid_argument("text too long");
+        if (text.size() > kMaxTextBytes)
+            throw std::invalid_argument("string in item " + std::to_string(next_ - begin_) + " of " +
+                                        structure_ + " has " + std::to_string(text.size()) +
+                                        " bytes, limit is " + std::to_string(kMaxTextBytes));
         return text;
     }
-    std::size_t left() const { return static_cast<std::size_t>(end_ - next_); }
+    std::size_t remaining() const { return static_cast<std::size_t>(end_ - next_); }
 
 private:
+    std::string structure_;
+    const msgpack::object* begin_ = nullptr;
     const msgpack::object* next_ = nullptr;
     const msgpack::object* end_ = nullptr;
 };
 
 Claim read_claim(const msgpack::object& object) {
-    Reader items(object);
+    Reader items(object, "claim");
     Claim claim;
     claim.name = items.text();
     const std::uint64_t state = items.number();
     if (claim.name.empty() || state > static_cast<std::uint64_t>(State::left))
-        throw std::invalid_argument("no claim");
+        throw std::invalid_argument("claim has an empty member name or the unknown state " +
+                                    std::to_string(state));
     claim.state = static_cast<State>(state);
     claim.incarnation = items.number();
     claim.instance_id = items.number();
@@ -77,8 +87,8 @@
 
 std::vector<Claim> read_claims(const msgpack::object& object) {
     std::vector<Claim> claims;
-    Reader items(object);
-    while (items.left() > 0) claims.push_back(read_claim(items.object()));
+    Reader items(object, "claim list");
+    while (items.remaining() > 0) claims.push_back(read_claim(items.object()));
     return claims;
 }
 
@@ -92,7 +102,8 @@
 }
 
 Message read_message(const std::string& from, std::uint64_t kind, Reader& items) {
-    if (kind > static_cast<std::uint64_t>(Message::Kind::gossip)) throw std::invalid_argument("no kind");
+    if (kind > static_cast<std::uint64_t>(Message::Kind::gossip))
+        throw std::invalid_argument("payload has the unknown kind " + std::to_string(kind));
     Message message;
     message.kind = static_cast<Message::Kind>(kind);
     message.from = from;
@@ -122,18 +133,18 @@
 }
 
 DecodedPayload decode(std::span<const std::uint8_t> bytes) {
-    // Limits in the sender's measure: nothing in a message of this size holds more items than bytes.
-    const msgpack::unpack_limit limit(bytes.size(), 0, kLongestText, 0, 0, kDeepestNesting);
+    // No array or string in a message can have more items than the message has bytes.
+    const msgpack::unpack_limit limit(bytes.size(), 0, kMaxTextBytes, 0, 0, kMaxNesting);
     const msgpack::object_handle handle =
         msgpack::unpack(reinterpret_cast<const char*>(bytes.data()), bytes.size(), nullptr, nullptr, limit);
-    Reader items(handle.get());
+    Reader items(handle.get(), "payload");
     DecodedPayload decoded;
     Origin& origin = decoded.origin;
     origin.name = items.text();
     origin.instance_id = items.number();
     origin.counter = items.number();
     const std::uint64_t kind = items.number();
-    if (origin.name.empty()) throw std::invalid_argument("no name");
+    if (origin.name.empty()) throw std::invalid_argument("payload has an empty sender name");
     if (kind == kSyncKind) {
         decoded.payload = read_sync(origin.name, items);
     } else {
--- a/src/cluster/payload.hpp
+++ b/src/cluster/payload.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What members send each other, as msgpack: [name, life, counter, kind, ...].
+/// Payloads between members as msgpack: [name, instance ID, counter, kind, ...].
 #pragma once
 
 #include <cstdint>
@@ -15,40 +15,40 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
-/// One side of a state exchange (TCP).
+/// One message of a state exchange (TCP).
 struct Sync {
-    /// The sender.
+    /// Name of the sender.
     std::string from;
-    /// Of the sender's complete state.
+    /// Digest of the sender's complete state.
     std::uint64_t digest = 0;
-    /// Whether it has the complete state; sent only where the digests differ.
+    /// Whether the message has the complete state, which is sent only if the digests differ.
     bool complete = false;
-    /// The complete state; else empty.
+    /// The complete state, or empty.
     std::vector<Claim> claims;
 };
 
 using Payload = std::variant<Message, Sync>;
 
-/// Who has sent a payload, and as which of its messages.
+/// The sender of a payload, and the payload's position among the sender's messages.
 struct Origin {
     std::string name;
-    /// Of the sender's process.
+    /// ID of the sender's process instance.
     std::uint64_t instance_id = 0;
-    /// Greater with each payload of a life.
+    /// Counter that increases with each payload of a process instance.
     std::uint64_t counter = 0;
 };
 
-/// A payload that was received.
+/// A received payload and its sender.
 struct DecodedPayload {
     Origin origin;
     Payload payload;
 };
 
-/// Writes a payload; its own `from` is not written, as the origin names the sender.
+/// Encodes a payload. Its `from` is not written, because the origin names the sender.
 Bytes encode(const Origin& origin, const Payload& payload);
 
-/// Reads a payload.
-/// @throws std::exception where it is malformed.
+/// Decodes a payload.
+/// @throws std::exception if it is malformed.
 DecodedPayload decode(std::span<const std::uint8_t> bytes);
 
 }  // namespace mothring::cluster
--- a/src/cluster/peer_addresses.hpp
+++ b/src/cluster/peer_addresses.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Where the other members are reached.
+/// Addresses of the other members.
 #pragma once
 
 #include <optional>
@@ -10,18 +10,19 @@
 
 namespace mothring::cluster {
 
-/// Finds the address of a member: a configured route, else what the member says of itself.
+/// Finds the address of a member: a configured route, or else the address in the claim about the member.
 class PeerAddresses {
 public:
-    /// Both must outlive this.
+    /// Both references must outlive this object.
     PeerAddresses(const Settings& settings, const Membership& membership)
         : settings_(settings), membership_(membership) {}
 
-    /// Where a message goes: to the address that it names, else to its member. None: not known.
+    /// Returns the address to send a message to: the address that the message names, or else that of its
+    /// receiver. None if it is unknown.
     std::optional<Udp::endpoint> udp(const Effects::Send& send) const;
-    /// Where a member listens for messages. None: not known.
+    /// Returns the address at which a member receives messages, or none if it is unknown.
     std::optional<Udp::endpoint> udp(const std::string& name) const;
-    /// Where a member listens for state exchanges. None: not known.
+    /// Returns the address at which a member accepts state exchanges, or none if it is unknown.
     std::optional<Tcp::endpoint> tcp(const std::string& name) const;
 
 private:
--- a/src/cluster/probe_relay.cpp
+++ b/src/cluster/probe_relay.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Of the time for an ack: the nack still reaches the asker before the probe fails there.
+// Fraction of the ack timeout after which a nack is sent, so that the nack arrives before the requester's
+// probe fails.
 constexpr double kNackFraction = 0.8;
 
 }  // namespace
--- a/src/cluster/probe_relay.hpp
+++ b/src/cluster/probe_relay.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Indirect probes (SWIM 4.1, ping-req): the pings that this member sends on behalf of others.
+/// Relay of indirect probes (SWIM 4.1, ping-req): the pings that this member sends on behalf of other
+/// members.
 #pragma once
 
 #include <cstddef>
@@ -12,36 +13,36 @@
 
 namespace mothring::cluster {
 
-/// Holds a request until its ack comes, which is forwarded, or its period is over. Before that its asker is
-/// sent a nack, which shows that this member at least is present (Lifeguard 4.1).
+/// Records each request until its ack arrives, which is forwarded, or its period ends. Before that, the
+/// requester is sent a nack, which shows that this member is running (Lifeguard 4.1).
 class ProbeRelay {
 public:
     /// An indirect probe on behalf of another member.
     struct Request {
-        /// Of this member's ping.
+        /// Sequence number of this member's ping.
         std::uint64_t sequence = 0;
-        /// Of the ping_request, and so of its answer.
-        std::uint64_t asked_sequence = 0;
-        /// Whom to answer.
-        std::string asker;
-        /// Where to answer.
+        /// Sequence number of the ping_request and of its answer.
+        std::uint64_t requester_sequence = 0;
+        /// Name of the member to answer.
+        std::string requester;
+        /// Address to answer to.
         std::string address;
     };
 
     explicit ProbeRelay(const Parameters& parameters);
 
-    /// Whether no further request may be added, so that memory is bounded.
+    /// Returns whether the limit on pending requests, which bounds memory, is reached.
     bool full() const { return pending_.size() >= max_pending_; }
     void add(Millis now, Request request);
-    /// When a nack is due or a request ends; infinite where there is no request.
+    /// Returns the time at which a nack is due or a request ends; infinite if there is no request.
     Millis next() const;
-    /// Adds the time for which this process did not listen.
+    /// Extends all deadlines by the time for which this process did not receive.
     void postpone(Millis stalled);
-    /// Drops the requests whose time is over.
-    /// @return those whose nack is due.
+    /// Drops the requests whose period has ended.
+    /// @return the requests for which a nack must be sent now.
     std::vector<Request> take_nacks(Millis now);
     /// Ends the request whose ping was acknowledged.
-    /// @return the request. None: no such ping is under way.
+    /// @return the request, or none if no such ping is pending.
     std::optional<Request> acknowledge(std::uint64_t sequence);
 
 private:
--- a/src/cluster/prober.cpp
+++ b/src/cluster/prober.cpp
@@ -27,8 +27,8 @@
     probe_->fails_at += stalled;
 }
 
-// SWIM 4.3: the order is drawn anew each round, so that every member is probed within a round. Empty: nobody
-// is present.
+// Returns the next member to probe, or an empty string if no other member is present. The order is shuffled
+// again for each round, so that every member is probed once within a round (SWIM 4.3).
 std::string Prober::next_target(const MemberTable& table, std::mt19937_64& random) {
     for (int rounds = 0; rounds < 2; ++rounds) {
         while (!round_.empty()) {
--- a/src/cluster/prober.hpp
+++ b/src/cluster/prober.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The failure detector's own probes (SWIM 4.1 and 4.3): of one member in each protocol period, in turn;
-/// first directly and, where no ack comes within the timeout, through others.
+/// The failure detector's own probes (SWIM 4.1 and 4.3): one member is probed in each protocol period, in a
+/// random order. It is probed directly first, and through other members if no ack arrives within the timeout.
 #pragma once
 
 #include <cstdint>
@@ -14,58 +14,59 @@
 
 namespace mothring::cluster {
 
-/// Has the state and the times of the probes; Membership sends the messages.
+/// Keeps the state and the times of the probes; Membership sends the messages.
 class Prober {
 public:
     /// The probe of one period.
     struct Probe {
         std::string target;
-        /// Of the ping and of the ping_requests.
+        /// Sequence number of the ping and of the ping_requests.
         std::uint64_t sequence = 0;
-        /// When the direct ack is overdue.
+        /// Time at which the direct ack is overdue.
         Millis timeout_at = 0;
-        /// When any ack is overdue.
+        /// Time at which the probe fails.
         Millis fails_at = 0;
-        /// Whether the timeout is over, and others probe too.
+        /// Whether the direct probe has timed out and indirect probes have been requested.
         bool indirect = false;
-        /// Members asked to probe.
+        /// Number of members asked for an indirect probe.
         unsigned nacks_due = 0;
-        /// Those that sent a nack.
+        /// Number of nacks received from them.
         unsigned nacks = 0;
-        /// What a failed probe adds to the local health score (Lifeguard 4.1): where members that were asked
-        /// did not send so much as a nack, the fault may be this process's.
+        /// Returns the increase of the local health score for a failed probe (Lifeguard 4.1). If members that
+        /// were asked for an indirect probe did not even send a nack, this process may be at fault.
         int health_penalty() const;
     };
 
     explicit Prober(const Parameters& parameters)
         : period_(parameters.period), timeout_(parameters.period * parameters.timeout_fraction) {}
 
-    /// Sets the beginning of the next period.
+    /// Sets the start of the next period.
     void begin_at(Millis at) { next_at_ = at; }
-    /// Adds a member that joined, at a random place of the current round.
+    /// Adds a member that joined, at a random position of the current round.
     void add(const std::string& name, std::mt19937_64& random);
-    /// Whether a period is to begin.
+    /// Returns whether the next period must begin.
     bool due(Millis now) const { return next_at_ <= now; }
-    /// The earliest time at which there is something to do.
+    /// Returns the time of the next action.
     Millis next() const;
-    /// Adds the time for which this process did not listen.
+    /// Extends all deadlines by the time for which this process did not receive.
     void postpone(Millis stalled);
 
-    /// Begins a period, and a probe in it where any member is present.
-    /// @param multiplier  of the interval and the timeout (LocalHealth::multiplier).
-    /// @param sequence  of the last ping sent; raised.
-    /// @return the probe; null: nobody is present.
+    /// Begins a period, and a probe in it if any other member is present.
+    /// @param multiplier  factor for the interval and the timeout (LocalHealth::multiplier).
+    /// @param sequence  sequence number of the last ping sent; it is incremented.
+    /// @return the probe, or null if no other member is present.
     const Probe* begin(Millis now, Millis multiplier, std::uint64_t& sequence, const MemberTable& table,
                        std::mt19937_64& random);
-    /// The probe whose direct ack is overdue, once; others are to probe then. Null: none.
+    /// Returns the probe whose direct ack has become overdue, once, so that indirect probes can be requested;
+    /// otherwise null.
     Probe* take_timeout(Millis now);
-    /// Ends the probe that got no ack in its period.
-    /// @return the probe; none: none failed.
+    /// Ends the probe if its period has passed without an ack.
+    /// @return the failed probe, or none.
     std::optional<Probe> take_failed(Millis now);
-    /// Takes an ack.
-    /// @return whether it was of the current probe, which is over.
+    /// Processes an ack.
+    /// @return whether it answers the current probe, which is then complete.
     bool acknowledge(std::uint64_t sequence);
-    /// Takes a nack.
+    /// Processes a nack.
     void nack(std::uint64_t sequence);
     /// Drops the current probe.
     void cancel() { probe_.reset(); }
@@ -75,8 +76,8 @@
 
     Millis period_;
     Millis timeout_;
-    Millis next_at_ = 0;              // the next period
-    std::vector<std::string> round_;  // whom to probe, the next one last
+    Millis next_at_ = 0;              // start of the next period
+    std::vector<std::string> round_;  // members to probe in this round; the next one is last
     std::optional<Probe> probe_;
 };
 
--- a/src/cluster/settings.hpp
+++ b/src/cluster/settings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The settings of the membership.
+/// Settings of the membership.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -18,20 +18,21 @@
 
 /// The [cluster] table of the options file.
 struct Settings {
-    /// Where it listens, by UDP and by TCP; port 0: of the system's choice.
+    /// Address to listen at by UDP and TCP; port 0 lets the system choose a port.
     Udp::endpoint bind;
-    /// ADDRESS:PORT as told to others; absent: where it listens.
+    /// ADDRESS:PORT that is announced to other members; if absent, the listening address.
     std::optional<std::string> advertise;
-    /// Members to join by.
+    /// Members that are contacted to join the fleet.
     std::vector<Tcp::endpoint> seeds;
-    /// The fleet's shared key, at least Codec::kShortestKey bytes.
+    /// The fleet's shared key, at least Codec::kMinKeyBytes long.
     std::string key;
-    /// Addresses of a member; absent: where it says that it listens.
+    /// Addresses at which a member is reached; an absent one defaults to the address that the member
+    /// announces.
     struct Route {
         std::optional<Udp::endpoint> udp;
         std::optional<Tcp::endpoint> tcp;
     };
-    /// Members that are reached elsewhere than where they say that they listen, by name.
+    /// Routes by member name, for members that are reached at other addresses than those they announce.
     std::map<std::string, Route> routes;
     Parameters parameters;
 };
--- a/src/cluster/state_exchange.cpp
+++ b/src/cluster/state_exchange.cpp
@@ -22,9 +22,9 @@
 
 namespace {
 
-constexpr std::size_t kMostAnswered = 16;  // exchanges at a time
-constexpr double kTimeLimitPeriods = 2;    // for one exchange
-constexpr std::size_t kLengthSize = 4;     // bytes of the length before a message
+constexpr std::size_t kMaxConcurrentAnswers = 16;  // exchanges answered at the same time
+constexpr double kTimeLimitPeriods = 2;            // limit for one exchange, in periods
+constexpr std::size_t kLengthBytes = 4;            // bytes of the length prefix of a message
 constexpr unsigned kBitsPerByte = 8;
 
 auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
@@ -36,17 +36,17 @@
     });
 }
 
-// The message behind its length, the most significant byte first.
+// Returns the message prefixed by its length in big-endian order.
 Bytes framed(const Bytes& message) {
     Bytes frame;
-    frame.reserve(kLengthSize + message.size());
-    for (std::size_t left = kLengthSize; left > 0; --left)
+    frame.reserve(kLengthBytes + message.size());
+    for (std::size_t left = kLengthBytes; left > 0; --left)
         frame.push_back(static_cast<std::uint8_t>(message.size() >> ((left - 1) * kBitsPerByte)));
     frame.insert(frame.end(), message.begin(), message.end());
     return frame;
 }
 
-std::size_t read_length(const std::array<std::uint8_t, kLengthSize>& bytes) {
+std::size_t read_length(const std::array<std::uint8_t, kLengthBytes>& bytes) {
     std::size_t length = 0;
     for (const std::uint8_t byte : bytes) length = length << kBitsPerByte | byte;
     return length;
@@ -54,43 +54,43 @@
 
 }  // namespace
 
-StateExchange::StateExchange(const Inputs& inputs, Hooks hooks) : in_(inputs), hooks_(std::move(hooks)) {}
+StateExchange::StateExchange(const Inputs& inputs, Hooks hooks) : inputs_(inputs), hooks_(std::move(hooks)) {}
 
 void StateExchange::start(const Self& self) {
-    asio::co_spawn(self->in_.io, accept(self), asio::detached);
-    if (!self->in_.settings.seeds.empty()) asio::co_spawn(self->in_.io, join(self), asio::detached);
+    asio::co_spawn(self->inputs_.io, accept(self), asio::detached);
+    if (!self->inputs_.settings.seeds.empty()) asio::co_spawn(self->inputs_.io, join(self), asio::detached);
 }
 
 void StateExchange::begin(const Self& self, const Tcp::endpoint& address) {
-    asio::co_spawn(self->in_.io, call(self, address), [](const std::exception_ptr&, bool) {});
+    asio::co_spawn(self->inputs_.io, call(self, address), [](const std::exception_ptr&, bool) {});
 }
 
 void StateExchange::close() {
     closed_ = true;
     error_code ignored;
-    in_.acceptor.close(ignored);
+    inputs_.acceptor.close(ignored);
 }
 
-// Calls every seed until it has answered once; from then on one of them now and then, so that parts of the
-// fleet that found only themselves, or lost each other, meet again at a seed.
+// Calls every seed until it has answered once. After that it calls a random seed once per synchronisation
+// interval, so that partitions of the fleet that do not know each other merge through a seed.
 asio::awaitable<void> StateExchange::join(Self self) {
     const std::vector<Tcp::endpoint> seeds = self->other_seeds();
     std::deque<Tcp::endpoint> unanswered(seeds.begin(), seeds.end());
-    asio::steady_timer wait(self->in_.io);
+    asio::steady_timer wait(self->inputs_.io);
     error_code ignored;
     while (!self->closed_ && !seeds.empty()) {
         double periods = 1;
         co_await call_unanswered(self, unanswered);
         if (unanswered.empty()) {
-            periods = self->in_.membership.sync_periods();
-            unanswered.push_back(seeds[self->in_.random() % seeds.size()]);
+            periods = self->inputs_.membership.sync_periods();
+            unanswered.push_back(seeds[self->inputs_.random() % seeds.size()]);
         }
-        wait.expires_after(net::to_duration(periods * self->in_.settings.parameters.period));
+        wait.expires_after(net::to_duration(periods * self->inputs_.settings.parameters.period));
         co_await wait.async_wait(into(ignored));
     }
 }
 
-// Calls each once, and leaves those that did not answer.
+// Calls each seed once, and keeps those that did not answer in the queue.
 asio::awaitable<void> StateExchange::call_unanswered(Self self, std::deque<Tcp::endpoint>& unanswered) {
     for (std::size_t left = unanswered.size(); left > 0; --left) {
         const Tcp::endpoint seed = unanswered.front();
@@ -102,24 +102,24 @@
     }
 }
 
-// Returns whether the other has answered.
+// Exchanges states with the member at `address`. Returns whether it has answered.
 asio::awaitable<bool> StateExchange::call(Self self, Tcp::endpoint address) {
-    auto socket = std::make_shared<Tcp::socket>(self->in_.io);
-    asio::steady_timer limit(self->in_.io, net::to_duration(self->time_limit()));
+    auto socket = std::make_shared<Tcp::socket>(self->inputs_.io);
+    asio::steady_timer limit(self->inputs_.io, net::to_duration(self->time_limit()));
     close_on_expiry(limit, socket);
     error_code failed;
     co_await socket->async_connect(address, into(failed));
     if (failed || self->closed_) {
-        ++self->in_.traffic.syncs_failed;
+        ++self->inputs_.traffic.syncs_failed;
         co_return false;
     }
     co_await self->write(*socket, self->sync(false));
     const auto answer = co_await self->read(*socket);
     if (!answer) {
-        ++self->in_.traffic.syncs_failed;
+        ++self->inputs_.traffic.syncs_failed;
         co_return false;
     }
-    ++self->in_.traffic.syncs;
+    ++self->inputs_.traffic.syncs;
     if (!answer->complete) co_return true;
     co_await self->write(*socket, self->sync(true));
     self->hooks_.received(*answer);
@@ -127,30 +127,31 @@
 }
 
 asio::awaitable<void> StateExchange::accept(Self self) {
-    asio::steady_timer pause(self->in_.io);
+    asio::steady_timer pause(self->inputs_.io);
     while (!self->closed_) {
         error_code failed;
-        auto socket = std::make_shared<Tcp::socket>(co_await self->in_.acceptor.async_accept(into(failed)));
+        auto socket =
+            std::make_shared<Tcp::socket>(co_await self->inputs_.acceptor.async_accept(into(failed)));
         if (failed == asio::error::operation_aborted || self->closed_) co_return;
         if (failed && !self->accept_pace_.must_pause_after(failed)) continue;
         if (failed) {
-            pause.expires_after(net::to_duration(self->in_.settings.parameters.period));
+            pause.expires_after(net::to_duration(self->inputs_.settings.parameters.period));
             co_await pause.async_wait(into(failed));
             continue;
         }
         self->accept_pace_.on_success();
-        if (self->answering_ >= kMostAnswered) continue;
-        asio::co_spawn(self->in_.io, answer(self, std::move(socket)), asio::detached);
+        if (self->answering_ >= kMaxConcurrentAnswers) continue;
+        asio::co_spawn(self->inputs_.io, answer(self, std::move(socket)), asio::detached);
     }
 }
 
 asio::awaitable<void> StateExchange::answer(Self self, std::shared_ptr<Tcp::socket> socket) {
     ++self->answering_;
-    asio::steady_timer limit(self->in_.io, net::to_duration(self->time_limit()));
+    asio::steady_timer limit(self->inputs_.io, net::to_duration(self->time_limit()));
     close_on_expiry(limit, socket);
     const auto request = co_await self->read(*socket);
-    if (request && !self->in_.membership.superseded()) {
-        const bool is_equal = request->digest == self->in_.membership.digest();
+    if (request && !self->inputs_.membership.superseded()) {
+        const bool is_equal = request->digest == self->inputs_.membership.digest();
         co_await self->write(*socket, self->sync(!is_equal));
         if (!is_equal) {
             const auto state = co_await self->read(*socket);
@@ -161,49 +162,50 @@
 }
 
 asio::awaitable<void> StateExchange::write(Tcp::socket& socket, Sync sync) {
-    const Bytes frame = framed(in_.codec.seal(std::move(sync)));
-    in_.traffic.bytes_sent += frame.size();
+    const Bytes frame = framed(inputs_.codec.seal(std::move(sync)));
+    inputs_.traffic.bytes_sent += frame.size();
     error_code failed;
     co_await asio::async_write(socket, asio::buffer(frame), into(failed));
 }
 
-// Returns nothing where the connection fails or the message is rejected.
+// Returns the message, or none if the connection fails or the message is rejected.
 asio::awaitable<std::optional<Sync>> StateExchange::read(Tcp::socket& socket) {
     error_code failed;
-    std::array<std::uint8_t, kLengthSize> head{};
+    std::array<std::uint8_t, kLengthBytes> head{};
     co_await asio::async_read(socket, asio::buffer(head), into(failed));
     if (failed) co_return std::nullopt;
     const std::size_t length = read_length(head);
-    if (length > Codec::kLongestSync) {
-        in_.verifier.reject(Rejection::oversized, "tcp");
+    if (length > Codec::kMaxSyncBytes) {
+        inputs_.verifier.reject(Rejection::oversized, "tcp");
         co_return std::nullopt;
     }
     Bytes bytes(length);
     co_await asio::async_read(socket, asio::buffer(bytes), into(failed));
     if (failed) co_return std::nullopt;
-    auto payload = in_.verifier.open(bytes, Codec::kLongestSync, "tcp", std::nullopt);
+    auto payload = inputs_.verifier.open(bytes, Codec::kMaxSyncBytes, "tcp", std::nullopt);
     if (!payload) co_return std::nullopt;
     auto* const sync = std::get_if<Sync>(&*payload);
     if (!sync) co_return std::nullopt;
     co_return std::move(*sync);
 }
 
-// The seeds but this member itself.
+// Returns the seeds other than this member.
 std::vector<Tcp::endpoint> StateExchange::other_seeds() const {
     std::vector<Tcp::endpoint> seeds;
-    for (const Tcp::endpoint& seed : in_.settings.seeds)
-        if (seed != in_.acceptor.local_endpoint() && net::format_endpoint(seed) != in_.membership.self().tcp)
+    for (const Tcp::endpoint& seed : inputs_.settings.seeds)
+        if (seed != inputs_.acceptor.local_endpoint() &&
+            net::format_endpoint(seed) != inputs_.membership.self().tcp)
             seeds.push_back(seed);
     return seeds;
 }
 
-Millis StateExchange::time_limit() const { return kTimeLimitPeriods * in_.settings.parameters.period; }
+Millis StateExchange::time_limit() const { return kTimeLimitPeriods * inputs_.settings.parameters.period; }
 
 Sync StateExchange::sync(bool complete) const {
     Sync sync;
-    sync.digest = in_.membership.digest();
+    sync.digest = inputs_.membership.digest();
     sync.complete = complete;
-    if (complete) sync.claims = in_.membership.members();
+    if (complete) sync.claims = inputs_.membership.members();
     return sync;
 }
 
--- a/src/cluster/state_exchange.hpp
+++ b/src/cluster/state_exchange.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Anti-entropy over TCP. The caller sends the digest of its state; where the other's is another, each sends
-/// the other its complete state.
+/// Anti-entropy over TCP. The caller sends the digest of its state. If the digest of the other member
+/// differs, each sends the other its complete state.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -22,10 +22,10 @@
 
 namespace mothring::cluster {
 
-/// Joins the fleet by its seeds, exchanges states with other members and answers their exchanges.
+/// Joins the fleet through its seeds, begins exchanges with other members and answers theirs.
 class StateExchange {
 public:
-    /// What it works on. All references must outlive the exchange.
+    /// Objects that the exchange uses. All references must outlive it.
     struct Inputs {
         boost::asio::io_context& io;
         const Settings& settings;
@@ -36,23 +36,23 @@
         TrafficCounters& traffic;
         std::mt19937_64& random;
     };
-    /// Whom it reports to.
+    /// Functions called on events.
     struct Hooks {
-        /// The complete state of another member.
+        /// Called with the complete state of another member.
         std::function<void(const Sync&)> received;
-        /// A seed has not answered.
+        /// Called if a seed has not answered.
         std::function<void(const Tcp::endpoint& seed)> unanswered;
     };
-    /// Keeps the exchange alive, and whatever it refers to, while it waits.
+    /// Keeps the exchange and the objects that it refers to alive while an operation is pending.
     using Self = std::shared_ptr<StateExchange>;
 
     StateExchange(const Inputs& inputs, Hooks hooks);
 
-    /// Answers exchanges, and joins by the seeds where there are any.
+    /// Starts to answer exchanges, and to join through the seeds if there are any.
     static void start(const Self& self);
     /// Begins an exchange.
     static void begin(const Self& self, const Tcp::endpoint& address);
-    /// Accepts no connection any more; exchanges under way end by themselves.
+    /// Stops accepting connections; exchanges in progress run to their end or time limit.
     void close();
 
 private:
@@ -71,10 +71,10 @@
     Millis time_limit() const;
     Sync sync(bool complete) const;
 
-    Inputs in_;
+    Inputs inputs_;
     Hooks hooks_;
     net::FailurePace accept_pace_;
-    std::size_t answering_ = 0;  // exchanges
+    std::size_t answering_ = 0;  // number of exchanges being answered
     bool closed_ = false;
 };
 
--- a/src/cluster/suspicion.hpp
+++ b/src/cluster/suspicion.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A suspicion and its timer (SWIM 4.2): a member that did not answer is declared dead only when the timeout
-/// runs out without a refutation. Accusations by others shorten the timeout (Lifeguard 4.2).
+/// A suspicion and its timer (SWIM 4.2): a member that did not answer is declared dead only if the timeout
+/// expires without a refutation. Accusations by further members shorten the timeout (Lifeguard 4.2).
 #pragma once
 
 #include <cstddef>
@@ -11,21 +11,21 @@
 
 namespace mothring::cluster {
 
-/// Of one member.
+/// The suspicion of one member.
 class Suspicion {
 public:
-    /// By its first accuser.
+    /// Starts a suspicion raised by `accuser`.
     Suspicion(const std::string& accuser, Millis now) : accusers_{accuser}, started_at_(now) {}
 
-    /// Takes another accuser.
-    /// @param wanted  confirmations that shorten the timeout.
-    /// @return whether the accuser is new and its confirmation is one of those.
+    /// Records a confirmation by another accuser.
+    /// @param wanted  number of confirmations that shorten the timeout.
+    /// @return whether the accuser is new and the confirmation is within that number.
     bool confirm(const std::string& accuser, unsigned wanted);
     bool accused_by(const std::string& name) const { return accusers_.contains(name); }
-    /// Gives the suspect back the time for which this process did not listen.
+    /// Extends the suspicion by the time for which this process did not receive.
     void postpone(Millis stalled) { started_at_ += stalled; }
-    /// When the suspect is to be declared dead.
-    /// @param members  present in the fleet.
+    /// Returns the time at which the suspect must be declared dead.
+    /// @param members  number of members present in the fleet.
     Millis expires_at(const Parameters& parameters, std::size_t members) const;
 
 private:
--- a/src/cluster/traffic_counters.hpp
+++ b/src/cluster/traffic_counters.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a member has sent and rejected since its start.
+/// Counters of the messages that a member has sent and rejected.
 #pragma once
 
 #include <array>
@@ -9,15 +9,15 @@
 
 namespace mothring::cluster {
 
-/// Counts since the start; state exchanges are those that this member began.
+/// Counters since the start. State exchanges are counted by the member that begins them.
 struct TrafficCounters {
-    /// Over UDP and TCP.
+    /// Bytes sent over UDP and TCP.
     std::uint64_t bytes_sent = 0;
     std::uint64_t datagrams_sent = 0;
     std::uint64_t syncs = 0;
     std::uint64_t syncs_failed = 0;
-    /// By Rejection.
-    std::array<std::uint64_t, kRejections> rejected{};
+    /// Rejected messages, indexed by Rejection.
+    std::array<std::uint64_t, kRejectionCount> rejected{};
 };
 
 }  // namespace mothring::cluster
