--- a/tests/cluster_restart_test.cpp
+++ b/tests/cluster_restart_test.cpp
@@ -1,5 +1,6 @@
-/// Members on loopback sockets, one of which restarts after its machine's wall clock was stepped: its life is
-/// the time of its start, so that a later life may be smaller than earlier ones.
+/// Tests with members on loopback sockets, one of which restarts after its machine's wall clock was stepped.
+/// The instance ID is derived from the start time, so a later process instance may have a lower ID than
+/// earlier ones.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,14 +25,14 @@
 constexpr Millis kPeriod = 100;
 constexpr Millis kMinute = 60 * 1000;
 constexpr Millis kHour = 60 * kMinute;
-constexpr Millis kGatheringLimit = 300 * kPeriod;  // for what must come at some time
+constexpr Millis kGatheringLimit = 300 * kPeriod;  // for conditions without a tight bound
 constexpr Millis kRejoiningLimit = 50 * kPeriod;   // for a member that restarted
 constexpr std::uint64_t kProbesOfEverybody = 4;    // two rounds among three members
 
 const std::string key(32, 'k');
-const std::string member = "m";  // the one that restarts
+const std::string member = "m";  // the member that restarts
 
-/// Two members that stay, n1 and n2, and `member`, whose lives begin at times of the test's choice.
+/// Two members that keep running, n1 and n2, and `member`, which each test starts repeatedly.
 struct RestartingMember : ::testing::Test {
     RestartingMember() {
         start("n1", any_port(), {});
@@ -44,7 +45,8 @@
         const net::Udp::endpoint address = agent(name).address();
         return {address.address(), address.port()};
     }
-    /// A life of that name; the one before it ends without a word. `clock_step`: of its wall clock, ms.
+    /// Starts a process instance of that name; the previous one ends without leaving the fleet. `clock_step`
+    /// is the step of its wall clock in ms.
     void start(const std::string& name, const net::Udp::endpoint& bind, std::vector<net::Tcp::endpoint> seeds,
                Millis clock_step = 0) {
         agents.erase(name);
@@ -56,7 +58,7 @@
         agents[name] = std::make_unique<Agent>(io, std::move(settings), name, "1", Agent::Callbacks{},
                                                net::Clock(clock_step));
     }
-    /// Whether the condition comes to hold within so long (ms).
+    /// Returns whether the condition holds within `limit` ms.
     template <class Condition>
     bool until(Condition holds, Millis limit) {
         const auto end = std::chrono::steady_clock::now() + net::to_duration(limit);
@@ -66,24 +68,25 @@
         }
         return true;
     }
-    /// Waits so long on the protocol's own clock: the probes that the member makes.
+    /// Waits for a number of protocol periods, measured by the probes of the member rather than by wall time.
     bool run_periods(std::uint64_t count) {
         const auto probes = [&] { return agent(member).statistics().counters.probes; };
         const std::uint64_t before = probes();
         return until([&] { return probes() >= before + count; }, kGatheringLimit);
     }
-    std::uint64_t life_of_member() { return agent(member).statistics().members.front().instance_id; }
-    /// Whether `observer` takes the present life of the member for alive.
+    std::uint64_t instance_of_member() { return agent(member).statistics().members.front().instance_id; }
+    /// Returns whether `observer` sees the member's current process instance as alive.
     bool sees_member(const std::string& observer) {
         const std::vector<Claim> claims = agent(observer).statistics().members;
         return std::any_of(claims.begin(), claims.end(), [&](const Claim& claim) {
             return claim.name == member && claim.state == State::alive &&
-                   claim.instance_id == life_of_member();
+                   claim.instance_id == instance_of_member();
         });
     }
     bool all_see_member() { return sees_member("n1") && sees_member("n2"); }
     bool member_sees_all() { return agent(member).statistics().view.alive == 3; }
-    /// Until the others have taken messages of this life: they know it from then on.
+    /// Waits until all members see each other and the member has probed every other one, so that its process
+    /// instance is known to them.
     bool becomes_known(Millis limit) {
         return until(
             [&] {
@@ -99,14 +102,14 @@
 
 struct Restarts {
     const char* name;
-    std::vector<Millis> clock_steps;  // of the wall clock in each life, ms
+    std::vector<Millis> clock_steps;  // wall clock step of each process instance, ms
 };
 
 std::ostream& operator<<(std::ostream& out, const Restarts& restarts) { return out << restarts.name; }
 
 struct ClockSteps : RestartingMember, ::testing::WithParamInterface<Restarts> {};
 
-TEST_P(ClockSteps, DoNotKeepALaterLifeOutAtTheSameAddress) {
+TEST_P(ClockSteps, AllowRejoiningAtSameAddress) {
     net::Udp::endpoint address = any_port();
     Millis limit = kGatheringLimit;
     for (const Millis step : GetParam().clock_steps) {
@@ -121,7 +124,7 @@
     EXPECT_FALSE(agent(member).statistics().superseded);
 }
 
-TEST_P(ClockSteps, DoNotKeepALaterLifeOutAtAnotherAddress) {
+TEST_P(ClockSteps, AllowRejoiningAtAnotherAddress) {
     Millis limit = kGatheringLimit;
     for (const Millis step : GetParam().clock_steps) {
         start(member, any_port(), {tcp_of("n1")}, step);
@@ -130,7 +133,7 @@
     }
 }
 
-TEST_P(ClockSteps, DoNotKeepALaterLifeOfTheSeedOut) {
+TEST_P(ClockSteps, AllowRestartedSeedToRejoin) {
     net::Udp::endpoint address = any_port();
     start(member, address, {}, GetParam().clock_steps.front());
     address = agent(member).address();
@@ -139,7 +142,8 @@
     ASSERT_TRUE(becomes_known(kGatheringLimit));
     for (std::size_t i = 1; i < GetParam().clock_steps.size(); ++i) {
         start(member, address, {}, GetParam().clock_steps[i]);
-        // It waits for the others' next exchanges of states with it.
+        // The restarted seed has no seeds itself, so it rejoins at the next state exchange begun by the
+        // others.
         ASSERT_TRUE(becomes_known(kRejoiningLimit)) << i;
     }
 }
@@ -147,34 +151,36 @@
 const Restarts restarts[] = {
     {"BackAnHour", {0, kMinute, 2 * kMinute - kHour}},
     {"BackAnHourTwice", {0, kMinute, 2 * kMinute - kHour, 3 * kMinute - 2 * kHour}},
-    {"BackAnHourAndRightAgain", {0, kMinute, 2 * kMinute - kHour, 3 * kMinute}},
-    {"ForwardAnHourAndRightAgain", {0, kMinute + kHour, 2 * kMinute}},
-    {"ForwardAnHourForTwoLives", {0, kMinute + kHour, 2 * kMinute + kHour, 3 * kMinute}},
+    {"BackAnHourThenCorrected", {0, kMinute, 2 * kMinute - kHour, 3 * kMinute}},
+    {"ForwardAnHourThenCorrected", {0, kMinute + kHour, 2 * kMinute}},
+    {"ForwardAnHourForTwoInstances", {0, kMinute + kHour, 2 * kMinute + kHour, 3 * kMinute}},
 };
 INSTANTIATE_TEST_SUITE_P(Wall, ClockSteps, ::testing::ValuesIn(restarts),
                          [](const auto& drawn) { return std::string(drawn.param.name); });
 
-/// Who speaks as `member`, by datagrams that the test writes itself, to n1, which has met two of its lives.
+/// Sends datagrams written by the test as `member` to n1, which knows two process instances of that name.
 struct ScriptedMember : RestartingMember {
-    ScriptedMember() { meet_two_lives(); }
-    void meet_two_lives() {
+    ScriptedMember() { introduce_two_instances(); }
+    void introduce_two_instances() {
         Codec first(key, member, 11), second(key, member, 12);
-        for (Codec* const earlier : {&first, &second}) EXPECT_TRUE(takes(earlier->seal(gossip())));
+        for (Codec* const earlier : {&first, &second}) EXPECT_TRUE(accepts(earlier->seal(gossip())));
     }
-    /// Sends it twice: whether n1 takes the first copy and rejects the second.
-    bool takes(const Bytes& bytes) {
+    /// Sends the datagram twice. Returns whether n1 accepts the first copy and rejects the second as
+    /// replayed.
+    bool accepts(const Bytes& bytes) {
         const std::uint64_t before = replayed();
-        const Bytes oversized(Codec::kLongestDatagram + 1);
+        const Bytes oversized(Codec::kMaxDatagramBytes + 1);
         const std::uint64_t marks = rejected(Rejection::oversized);
         send(bytes);
         send(bytes);
-        send(oversized);  // behind them, so that both have been read when it is counted
+        send(oversized);  // sent last, so that both copies have been read when this one is counted
         return until([&] { return rejected(Rejection::oversized) == marks + 1; }, kGatheringLimit) &&
                replayed() == before + 1;
     }
     static Message gossip() { return {Message::Kind::gossip, 0, member, "", {}}; }
     static Message ack(std::uint64_t sequence) { return {Message::Kind::ack, sequence, member, "n1", {}}; }
-    /// By which n1 shows that it has acted on a message: it holds a record of the member then.
+    /// Returns a message with a claim about the member. n1 has a record of the member after it has processed
+    /// this message.
     static Message introduction(const std::string& address) {
         Message message = gossip();
         Claim claim;
@@ -186,15 +192,15 @@
         return message;
     }
     void send(const Bytes& bytes) { socket.send_to(asio::buffer(bytes), agent("n1").address()); }
-    /// The sequence numbers of the pings that have come since the last call.
+    /// Returns the sequence numbers of the pings received since the last call.
     std::vector<std::uint64_t> take_challenges() {
         std::vector<std::uint64_t> sequences;
         boost::system::error_code nothing;
         socket.non_blocking(true);
-        std::array<std::uint8_t, Codec::kLongestDatagram> buffer{};
+        std::array<std::uint8_t, Codec::kMaxDatagramBytes> buffer{};
         for (std::size_t size = socket.receive(asio::buffer(buffer), 0, nothing); !nothing;
              size = socket.receive(asio::buffer(buffer), 0, nothing)) {
-            const auto opened = later.open({buffer.data(), size}, Codec::kLongestDatagram);
+            const auto opened = later.open({buffer.data(), size}, Codec::kMaxDatagramBytes);
             const auto& ping = std::get<Message>(std::get<Payload>(opened));
             EXPECT_EQ(ping.kind, Message::Kind::ping);
             EXPECT_EQ(ping.target, member);
@@ -212,7 +218,8 @@
         return std::any_of(claims.begin(), claims.end(),
                            [](const Claim& claim) { return claim.name == member; });
     }
-    /// What n1 challenges the sender with, having got a message of the later life.
+    /// Sends n1 a message of the later instance, and returns the sequence number of the challenge that n1
+    /// answers with.
     std::optional<std::uint64_t> provoke_challenge() {
         send(later.seal(gossip()));
         std::vector<std::uint64_t> sequences;
@@ -225,40 +232,40 @@
     }
 
     net::Udp::socket socket{io, any_port()};
-    Codec later{key, member, 5};  // smaller than the lives that are known
+    Codec later{key, member, 5};  // lower than the known instances
 };
 
-TEST_F(ScriptedMember, IsTakenFromItsAnswerToTheChallengeOnAndNotBefore) {
+TEST_F(ScriptedMember, IsAcceptedOnlyAfterAnsweringChallenge) {
     const std::string address = net::format_endpoint(socket.local_endpoint());
     const Bytes unproven = later.seal(introduction(address));
     const auto sequence = provoke_challenge();
     ASSERT_TRUE(sequence);
-    EXPECT_FALSE(takes(unproven));
-    EXPECT_FALSE(takes(later.seal(ack(*sequence + 1))));
-    EXPECT_FALSE(takes(later.seal(ack(0))));
+    EXPECT_FALSE(accepts(unproven));
+    EXPECT_FALSE(accepts(later.seal(ack(*sequence + 1))));
+    EXPECT_FALSE(accepts(later.seal(ack(0))));
     EXPECT_FALSE(is_known());
-    EXPECT_TRUE(takes(later.seal(ack(*sequence))));
-    EXPECT_FALSE(takes(unproven));
+    EXPECT_TRUE(accepts(later.seal(ack(*sequence))));
+    EXPECT_FALSE(accepts(unproven));
     EXPECT_FALSE(is_known());
-    EXPECT_TRUE(takes(later.seal(introduction(address))));
+    EXPECT_TRUE(accepts(later.seal(introduction(address))));
     EXPECT_TRUE(is_known());
 }
 
-TEST_F(ScriptedMember, RecordedAnswerToAnEarlierChallengeProvesNothing) {
+TEST_F(ScriptedMember, ReplayedAnswerToEarlierChallengeProvesNothing) {
     const auto sequence = provoke_challenge();
     ASSERT_TRUE(sequence);
     const Bytes recorded = later.seal(ack(*sequence));
-    EXPECT_TRUE(takes(recorded));
-    start("n1", agent("n1").address(), {});  // knows nothing of the proof
-    meet_two_lives();
+    EXPECT_TRUE(accepts(recorded));
+    start("n1", agent("n1").address(), {});  // a new instance of n1, which does not know the proof
+    introduce_two_instances();
     const auto another = provoke_challenge();
     ASSERT_TRUE(another);
     EXPECT_NE(*another, *sequence);
-    EXPECT_FALSE(takes(recorded));
-    EXPECT_TRUE(takes(later.seal(ack(*another))));
+    EXPECT_FALSE(accepts(recorded));
+    EXPECT_TRUE(accepts(later.seal(ack(*another))));
 }
 
-TEST_F(ScriptedMember, FloodOfReplayedDatagramsBringsAChallengeAPeriod) {
+TEST_F(ScriptedMember, ReplayFloodCausesAtMostOneChallengePerPeriod) {
     constexpr std::uint64_t kFlood = 5000, kAtOnce = 50;
     const auto begun = std::chrono::steady_clock::now();
     const Bytes recorded = later.seal(gossip());
