--- a/src/node/metrics.hpp
+++ b/src/node/metrics.hpp
@@ -51,7 +51,7 @@
     std::size_t servers_unavailable = 0;
     Discovery::State list;
     /// Absent: the membership is disabled.
-    std::optional<cluster::Figures> cluster;
+    std::optional<cluster::AgentStatistics> cluster;
 };
 
 /// Formats the metrics as JSON. The names in it are an interface to operators.
