--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -1,4 +1,4 @@
-// The membership among several processes of the program, with faults between them.
+// Tests of the membership among several processes of the program, with faults injected between them.
 #include <signal.h>
 
 #include "cluster/codec.hpp"
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 struct ClusterRig : LabRig {
-    // A fleet that has found itself.
+    // Starts a fleet and waits until all its members see each other.
     void gather(std::size_t members, const std::string& cluster, const std::string& more = "") {
         start("[sidecars]\ncount = " + std::to_string(members) + "\n[sidecars.cluster]\n" + cluster + more);
         ASSERT_TRUE(until_all(members)) << view(0);
@@ -25,14 +25,15 @@
             },
             limit);
     }
-    // How many of the sidecars told that event, about that member where one is named.
-    std::size_t told(const std::string& event, const std::string& member = "") {
+    // Returns the number of sidecars that logged the event, about `member` if one is given.
+    std::size_t sidecars_reporting(const std::string& event, const std::string& member = "") {
         std::size_t count = 0;
         for (std::size_t i = 0; i < lab->scenario().sidecars; ++i) count += lab->events(i, event, member) > 0;
         return count;
     }
-    // Waits so long on the protocol's own clock: the probes that the first sidecar makes.
-    bool periods(std::size_t count) {
+    // Waits for a number of protocol periods, measured by the probes of the first sidecar rather than by wall
+    // time.
+    bool wait_periods(std::size_t count) {
         const auto probes = [&] { return view(0).value("probes", 0U); };
         const auto before = probes();
         return lab->until([&] { return probes() >= before + count; }, 120000);
@@ -45,54 +46,54 @@
     Relay::RuleId rule = 0;
 };
 
-TEST_F(ClusterRig, AKilledMemberIsDeadToAllWithinTheBoundAndRejoinsWithAGreaterIncarnation) {
+TEST_F(ClusterRig, KilledMemberIsDeclaredDeadWithinBoundAndRejoinsWithGreaterIncarnation) {
     gather(6, "period_ms = 200\n");
     const auto incarnation = view(2)["incarnation"].get<std::uint64_t>();
     cluster::Parameters p;
     p.period = 200;
     const auto killed = std::chrono::steady_clock::now();
     lab->signal(2, SIGKILL);
-    ASSERT_TRUE(lab->until([&] { return told("member.dead", "n3") == 5; }, 30000));
+    ASSERT_TRUE(lab->until([&] { return sidecars_reporting("member.dead", "n3") == 5; }, 30000));
     const double took =
         std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - killed).count();
-    // A round of probes at the most, then the suspicion, unconfirmed; the machine's own slowness besides.
+    // The bound is one round of probes and an unconfirmed suspicion; 2 s are added for a slow machine.
     EXPECT_LT(took, 6 * p.period + p.suspicion_timeout(6, 0) + 2000);
-    EXPECT_EQ(told("member.dead"), 5u);
+    EXPECT_EQ(sidecars_reporting("member.dead"), 5u);
     lab->restart(2);
     EXPECT_TRUE(until_all(6));
-    EXPECT_TRUE(lab->until([&] { return told("member.rejoined", "n3") == 5; }));
+    EXPECT_TRUE(lab->until([&] { return sidecars_reporting("member.rejoined", "n3") == 5; }));
     EXPECT_GT(view(2)["incarnation"].get<std::uint64_t>(), incarnation);
-    EXPECT_EQ(told("member.superseded"), 0u);
-    // It leaves by itself on SIGTERM, and nobody suspects it.
+    EXPECT_EQ(sidecars_reporting("member.superseded"), 0u);
+    // On SIGTERM a sidecar leaves the fleet, and no other member declares it dead.
     lab->signal(1, SIGTERM);
-    EXPECT_TRUE(lab->until([&] { return told("member.left", "n2") == 5; }));
+    EXPECT_TRUE(lab->until([&] { return sidecars_reporting("member.left", "n2") == 5; }));
     EXPECT_TRUE(lab->until([&] { return !lab->child(1)->running(); }));
-    EXPECT_EQ(told("member.dead", "n2"), 0u);
+    EXPECT_EQ(sidecars_reporting("member.dead", "n2"), 0u);
     EXPECT_EQ(view(0)["expected"], 5);
 }
 
-TEST_F(ClusterRig, AStoppedMemberIsSuspectedAndRefutesWhenItGoesOn) {
-    gather(4, "period_ms = 500\nsuspicion = 16\n");  // 8 s at the least before it is declared dead
+TEST_F(ClusterRig, StoppedMemberIsSuspectedAndRefutesAfterContinuing) {
+    gather(4, "period_ms = 500\nsuspicion = 16\n");  // at least 8 s until it is declared dead
     lab->signal(3, SIGSTOP);
-    ASSERT_TRUE(lab->until([&] { return told("member.suspect", "n4") > 0; }, 6000));
+    ASSERT_TRUE(lab->until([&] { return sidecars_reporting("member.suspect", "n4") > 0; }, 6000));
     lab->signal(3, SIGCONT);
-    EXPECT_TRUE(lab->until([&] { return told("member.refuted", "n4") > 0; }, 20000));
+    EXPECT_TRUE(lab->until([&] { return sidecars_reporting("member.refuted", "n4") > 0; }, 20000));
     EXPECT_TRUE(until_all(4));
-    EXPECT_EQ(told("member.dead"), 0u);
+    EXPECT_EQ(sidecars_reporting("member.dead"), 0u);
 }
 
-TEST_F(ClusterRig, NobodyIsDeclaredDeadWithAFifthOfAllDatagramsLost) {
+TEST_F(ClusterRig, NoMemberIsDeclaredDeadWithOneFifthOfDatagramsLost) {
     gather(16, "period_ms = 100\n");
     Conditions lossy;
     lossy.drop = 0.2;
     const auto all = lab->scenario().select("sidecars");
     lab->relay().add({all, all, true, lossy});
-    ASSERT_TRUE(periods(120));
-    EXPECT_EQ(told("member.dead"), 0u);
+    ASSERT_TRUE(wait_periods(120));
+    EXPECT_EQ(sidecars_reporting("member.dead"), 0u);
     EXPECT_GT(lab->relay().counts().datagrams_lost, 100u);
 }
 
-TEST_F(ClusterRig, HalvesLoseTheirQuorumGoOnAndComeTogetherAfterwards) {
+TEST_F(ClusterRig, PartitionHalvesLoseQuorumKeepServingAndMergeAfterHealing) {
     gather(6, "period_ms = 100\n");
     cut({"n1", "n2", "n3"}, {"n4", "n5", "n6"}, true);
     const auto quorums = [&] {
@@ -105,13 +106,13 @@
     lab->relay().remove(rule);
     EXPECT_TRUE(until_all(6));
     EXPECT_EQ(quorums(), 6u);
-    EXPECT_EQ(told("member.superseded"), 0u);
+    EXPECT_EQ(sidecars_reporting("member.superseded"), 0u);
 }
 
-TEST_F(ClusterRig, OneThatIsHeardByNobodyIsAloneInItsOwnViewAndTheOthersKeepTheirs) {
+TEST_F(ClusterRig, MemberWhoseMessagesAreLostLosesQuorumWhileOthersKeepTheirs) {
     gather(5, "period_ms = 100\n");
     cut({"n1"}, {"n2", "n3", "n4", "n5"}, false);
-    ASSERT_TRUE(lab->until([&] { return told("member.dead", "n1") == 4; }, 30000));
+    ASSERT_TRUE(lab->until([&] { return sidecars_reporting("member.dead", "n1") == 4; }, 30000));
     ASSERT_TRUE(lab->until([&] { return !view(0).value("quorum", true); }, 30000));
     for (std::size_t i = 1; i < 5; ++i) {
         EXPECT_EQ(view(i)["alive"], 4) << i;
@@ -121,9 +122,9 @@
     EXPECT_TRUE(until_all(5));
 }
 
-TEST_F(ClusterRig, AStarvedMemberAccusesNobodyToDeath) {
+TEST_F(ClusterRig, StarvedMemberDeclaresNoHealthyMemberDead) {
     gather(6, "period_ms = 200\n");
-    // It runs for a twentieth of the time: longer stops than a probe's whole period.
+    // The process runs for one twentieth of the time, and each stop is longer than a protocol period.
     asio::io_context io;
     for (int turn = 0; turn < 25; ++turn) {
         lab->signal(0, SIGSTOP);
@@ -132,12 +133,12 @@
         lab->until([] { return false; }, 15);
     }
     for (const char* const healthy : {"n2", "n3", "n4", "n5", "n6"})
-        EXPECT_EQ(told("member.dead", healthy), 0u) << healthy;
+        EXPECT_EQ(sidecars_reporting("member.dead", healthy), 0u) << healthy;
     EXPECT_GT(view(0)["late_ticks"], 0);
     EXPECT_TRUE(until_all(6));
 }
 
-TEST_F(ClusterRig, StrayForgedReplayedAndTruncatedDatagramsAreCountedAndDropped) {
+TEST_F(ClusterRig, ForgedReplayedOversizedAndMalformedDatagramsAreCountedAndDropped) {
     gather(2, "period_ms = 200\n");
     const auto target = *net::parse_endpoint<net::Udp::endpoint>(
         lab->last_event(0, "sidecar.listening").value("cluster", ""));
@@ -168,15 +169,15 @@
         return rejected("forged") == 3 && rejected("replayed") == 1 && rejected("oversized") == 1 &&
                rejected("malformed") == 1;
     })) << view(0);
-    ASSERT_TRUE(periods(5));
+    ASSERT_TRUE(wait_periods(5));
     EXPECT_EQ(view(0)["alive"], 2);
     EXPECT_EQ(view(0)["members"].size(), 2u);
-    EXPECT_EQ(told("member.dead") + told("member.suspect"), 0u);
+    EXPECT_EQ(sidecars_reporting("member.dead") + sidecars_reporting("member.suspect"), 0u);
 }
 
-TEST_F(ClusterRig, IsOffWhereTheSettingsForbidPeerMessages) {
+TEST_F(ClusterRig, IsOffIfSettingsForbidPeerMessages) {
     start("[sidecars]\ncount = 2\nmay_tell = false\n[sidecars.cluster]\nperiod_ms = 100\n");
-    EXPECT_EQ(told("cluster.off"), 2u);
+    EXPECT_EQ(sidecars_reporting("cluster.off"), 2u);
     EXPECT_FALSE(lab->metrics(0).contains("cluster"));
     EXPECT_EQ(send_and_wait(0).end, End::served);
     EXPECT_EQ(lab->relay().counts().datagrams, 0u);
