--- a/bench/balancer_benchmark.cpp
+++ b/bench/balancer_benchmark.cpp
@@ -1,5 +1,5 @@
-// What a request costs the decisions alone: it arrives, is sent to a server and completes, in simulated time,
-// with 8, 200 and 3,200 servers listed.
+// Measures the CPU time of the decisions for one request, which arrives, is sent to a server and completes in
+// simulated time, with 8, 200 and 3,200 servers listed.
 #include <benchmark/benchmark.h>
 
 #include <vector>
@@ -11,8 +11,8 @@
 
 constexpr ServerId kZones = 3, kKinds = 2;
 constexpr Millis kGap = 10;        // between requests
-constexpr Millis kService = 20;    // of an attempt
-constexpr Millis kTimeout = 1000;  // of a request
+constexpr Millis kService = 20;    // duration of an attempt
+constexpr Millis kTimeout = 1000;  // time-out of a request
 constexpr int kWarmUpRequests = 1000;
 
 Settings make_settings() {
@@ -48,7 +48,7 @@
         give(RequestArrived{id, static_cast<std::uint32_t>(id % 2), kTimeout});
         now_ += kService;
         give(AttemptEnded{id, 0, Outcome::completed, kService, true});
-        // Its deadline's timer.
+        // Fires the expired timers.
         while (!timers_.empty() && timers_.front().at <= now_) {
             const TimerToken token = timers_.front().token;
             timers_.erase(timers_.begin());
@@ -68,7 +68,7 @@
     Balancer balancer_;
     Millis now_ = 100000;
     RequestId last_id_ = 0;
-    std::vector<SetTimer> timers_;  // in order of time, as all requests have one timeout
+    std::vector<SetTimer> timers_;  // ordered by time, as all requests have the same time-out
     std::vector<Action> actions_;
 };
 
--- a/bench/membership_bench.cpp
+++ b/bench/membership_bench.cpp
@@ -1,6 +1,6 @@
-// The membership measured over simulated fleets (Google Benchmark): detection of a kill, spread of an update,
-// false deaths under loss, bytes a member sends. Counters are in the units their names say; `periods` are
-// protocol periods. One iteration is one fleet with a seed of its own.
+// Measures the membership in simulated fleets (Google Benchmark): time to detect a killed member, time to
+// disseminate an update, false deaths under loss, and bytes sent per member. Counters are in the units that
+// their names state; `periods` are protocol periods. One iteration is one fleet with its own seed.
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
@@ -28,7 +28,7 @@
     return static_cast<std::uint64_t>(state.range(0)) * 1000 + iteration;
 }
 
-// From a kill until each other member declares it dead.
+// Measures the time from a kill until each other member declares the killed member dead.
 void detection(benchmark::State& state) {
     const auto members = static_cast<std::size_t>(state.range(0));
     std::vector<double> after, first_suspicion;
@@ -41,16 +41,16 @@
         const std::size_t victim = members / 2;
         fleet.kill(victim);
         fleet.run(60 * kPeriod);
-        std::set<std::size_t> told;
+        std::set<std::size_t> observers;
         double suspected = -1;
         for (const auto& s : fleet.seen) {
             if (s.at < killed || s.change.name != FleetSim::name(victim)) continue;
             if (s.change.what == "suspect" && suspected < 0) suspected = s.at - killed;
-            if (s.change.what == "dead" && told.insert(s.observer).second)
+            if (s.change.what == "dead" && observers.insert(s.observer).second)
                 after.push_back((s.at - killed) / kPeriod);
         }
         first_suspicion.push_back(suspected / kPeriod);
-        if (told.size() != members - 1) state.SkipWithError("not detected by all");
+        if (observers.size() != members - 1) state.SkipWithError("killed member not detected by all others");
     }
     state.counters["detect_p50_periods"] = at_share(after, 0.5);
     state.counters["detect_p99_periods"] = at_share(after, 0.99);
@@ -59,7 +59,8 @@
     state.counters["least_timeout_periods"] = parameters.suspicion_timeout(members, 1000) / kPeriod;
 }
 
-// From a restart (an update: a new life) until 99 % of the others know it.
+// Measures the time from a restart, which is an update with a new process instance, until 99 % of the other
+// members know it.
 void spread(benchmark::State& state) {
     const auto members = static_cast<std::size_t>(state.range(0));
     std::vector<double> times;
@@ -68,21 +69,21 @@
         FleetSim fleet(members, parameters, static_cast<double>(state.range(1)) / 100,
                        seed_of(state, ++iteration));
         fleet.run(30 * kPeriod);
-        const std::size_t one = members / 2;
-        fleet.kill(one);
-        fleet.restart(one);
+        const std::size_t restarted = members / 2;
+        fleet.kill(restarted);
+        fleet.restart(restarted);
         const Millis begun = fleet.now();
-        const auto instance_id = fleet.at(one).self().instance_id;
+        const auto instance_id = fleet.at(restarted).self().instance_id;
         const auto wanted = static_cast<std::size_t>(std::ceil(0.99 * static_cast<double>(members - 1)));
         for (int step = 0; step < 2000; ++step) {
             fleet.run(kPeriod / 20);
-            std::size_t know = 0;
+            std::size_t informed = 0;
             for (std::size_t i = 0; i < members; ++i)
-                if (i != one) {
-                    const auto record = fleet.at(i).member(FleetSim::name(one));
-                    know += record && record->instance_id == instance_id;
+                if (i != restarted) {
+                    const auto record = fleet.at(i).member(FleetSim::name(restarted));
+                    informed += record && record->instance_id == instance_id;
                 }
-            if (know >= wanted) break;
+            if (informed >= wanted) break;
         }
         times.push_back((fleet.now() - begun) / kPeriod);
     }
@@ -91,7 +92,7 @@
     state.counters["goal_periods"] = 3 * std::log2(static_cast<double>(members));
 }
 
-// An hour of calm but for loss.
+// Measures false deaths, suspicions and traffic during one hour without faults other than loss.
 void calm(benchmark::State& state) {
     const auto members = static_cast<std::size_t>(state.range(0));
     double deaths = 0, suspicions = 0, hours = 0, bytes = 0, seconds = 0;
