--- a/src/node/upstream_exchange.hpp
+++ b/src/node/upstream_exchange.hpp
@@ -32,8 +32,8 @@
     std::shared_ptr<net::BodyBuffer> body;
     /// True for an attempt at a client's request, false for a health check.
     bool is_attempt = true;
-    /// Called when the connection has been established, before the first byte is sent. It may set header
-    /// fields, and returns whether the request may be sent. If null, the request is sent unchanged.
+    /// Called before the first byte is sent on a new connection, not on a reused one. It may set header
+    /// fields and returns whether the request may be sent. If null, the request is sent unchanged.
     std::function<bool(UpstreamRequestHead&)> may_begin = nullptr;
     /// Called before sending resumes after the socket was not writable. Returns whether sending may continue;
     /// if it returns false, the caller must cancel the exchange. If null, sending always continues.
@@ -88,9 +88,9 @@
     void end(ConnectionUse use, Outcome outcome, UpstreamResponse response);
 
     /// Marks the exchange as ended and removes its callbacks from the bodies of the request and the response.
-    /// @return the body of a streamed response, which the caller must mark as complete or truncated; null if
-    /// no
-    ///         response is being streamed.
+    /// The caller must mark the returned body as complete or truncated.
+    /// @return the body of a streamed response;
+    ///         null if no response is being streamed.
     std::shared_ptr<net::BodyBuffer> detach_bodies();
 
 private:
--- a/src/node/upstream_response_reader.hpp
+++ b/src/node/upstream_response_reader.hpp
@@ -28,9 +28,9 @@
     void on_timeout();
 
     /// Discards the state of the response.
-    /// @return the body of a streamed response, which the caller must mark as complete or truncated; null if
-    /// no
-    ///         response is being streamed.
+    /// The caller must mark the returned body as complete or truncated.
+    /// @return the body of a streamed response;
+    ///         null if no response is being streamed.
     std::shared_ptr<net::BodyBuffer> release_body();
 
 private:
