--- a/src/node/upstream_connection.cpp
+++ b/src/node/upstream_connection.cpp
@@ -144,7 +144,7 @@
 }
 
 /// The body of a streamed response is marked as ended after everything else, because that can close the
-/// client's connection and detach_bodies the objects that belong to it.
+/// client's connection and release the objects that belong to it.
 void UpstreamConnection::end_exchange(ConnectionUse use, Outcome outcome, UpstreamResponse response) {
     const auto self = shared_from_this();
     Owner* const owner = owner_;
