--- a/src/node/downstream_listener.cpp
+++ b/src/node/downstream_listener.cpp
@@ -193,7 +193,7 @@
     });
 }
 
-void DownstreamListener::end_waiting_connections() {
+void DownstreamListener::close_waiting_connections() {
     if (acceptor_.is_open()) stop_accepting();
     for (const ConnectionPtr& connection :
          std::vector<ConnectionPtr>(connections_.begin(), connections_.end()))
--- a/src/node/downstream_listener.hpp
+++ b/src/node/downstream_listener.hpp
@@ -54,7 +54,7 @@
     void drain(Millis accepting);
     /// Ends the waiting for requests at the end of a drain. A request that has arrived completely by now is
     /// still accepted, an incomplete one gets an error response, and the other connections are closed.
-    void end_waiting_connections();
+    void close_waiting_connections();
     std::size_t connection_count() const { return connections_.size(); }
     net::Tcp::endpoint address() const { return address_; }
     bool draining() const { return draining_; }
--- a/src/node/graceful_shutdown.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -52,7 +52,7 @@
     timer_.expires_after(net::to_duration(delay));
     timer_.async_wait(guard_.while_alive([this, remaining = remaining - delay] {
         if (!in_progress()) return;
-        listener_->end_waiting_connections();
+        listener_->close_waiting_connections();
         if (listener_->connection_count() > 0 && remaining > 0)
             return close_waiting_after(kCheckInterval, remaining);
         if (!in_flight_.empty())
