--- a/src/node/endpoint_directory.cpp
+++ b/src/node/endpoint_directory.cpp
@@ -81,7 +81,7 @@
         --endpoint->second.attempts_in_flight;
 }
 
-void EndpointDirectory::forget_if_gone(ServerId id) {
+void EndpointDirectory::erase_if_unused(ServerId id) {
     const auto at = endpoints_.find(id);
     if (at == endpoints_.end()) return;
     const Endpoint& endpoint = at->second;
--- a/src/node/endpoint_directory.hpp
+++ b/src/node/endpoint_directory.hpp
@@ -40,7 +40,7 @@
     void remove_attempt(ServerId id);
 
     /// Removes a server that is not listed and has no attempt in flight.
-    void forget_if_gone(ServerId id);
+    void erase_if_unused(ServerId id);
 
     bool contains(ServerId id) const { return endpoints_.contains(id); }
     /// Whether the server is listed, as active or draining.
--- a/src/node/endpoint_list_updater.cpp
+++ b/src/node/endpoint_list_updater.cpp
@@ -47,7 +47,7 @@
     EndpointList event = endpoints_.update(kind, list, moment_of(kind));
     const std::vector<ServerId> affected = endpoints_.affected_by(event);
     loop_.handle(std::move(event));
-    for (const ServerId id : affected) endpoints_.forget_if_gone(id);
+    for (const ServerId id : affected) endpoints_.erase_if_unused(id);
     if (kind != ListKind::cached) on_updated_();
 }
 
--- a/src/node/request_forwarder.cpp
+++ b/src/node/request_forwarder.cpp
@@ -236,7 +236,7 @@
     parts_.requests.forget_if_done(key.request);
     parts_.endpoints.remove_attempt(server);
     parts_.loop.handle(event);
-    parts_.endpoints.forget_if_gone(server);
+    parts_.endpoints.erase_if_unused(server);
 }
 
 void RequestForwarder::on_attempt_deadline(const AttemptDeadline& deadline) {
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -260,7 +260,7 @@
     const ServerId server = attempt.server.id;
     if (Endpoint* const endpoint = endpoints.find(server)) {
         outcomes.record(*endpoint, *request, attempt, event, now, *actions);
-        if (endpoints.forget_if_gone(server)) outliers.forget(server);
+        if (endpoints.erase_if_unused(server)) outliers.forget(server);
     }
     if (event.request_ended) request->has_final_answer = true;
     if (request->has_final_answer) requests.mark_finished(event.id);
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -54,7 +54,7 @@
             Endpoint* const endpoint = find(info.id);
             if (!endpoint) continue;
             index(*endpoint, now);
-            if (forget_if_gone(info.id)) gone.push_back(info.id);
+            if (erase_if_unused(info.id)) gone.push_back(info.id);
         }
         return gone;
     }
@@ -65,7 +65,7 @@
         Endpoint& endpoint = entry->second;
         ++entry;  // the endpoint may be erased
         index(endpoint, now);
-        if (forget_if_gone(id)) gone.push_back(id);
+        if (erase_if_unused(id)) gone.push_back(id);
     }
     return gone;
 }
@@ -80,7 +80,7 @@
     if (counted_as) ++active_by_kind_[*counted_as];
 }
 
-bool EndpointSet::forget_if_gone(ServerId id) {
+bool EndpointSet::erase_if_unused(ServerId id) {
     const auto entry = endpoints_.find(id);
     if (entry == endpoints_.end()) return false;
     Endpoint& endpoint = entry->second;
--- a/src/policy/endpoint_set.hpp
+++ b/src/policy/endpoint_set.hpp
@@ -41,7 +41,7 @@
 
     /// Erases a server that is not listed and has no attempt in flight.
     /// @return whether it was erased.
-    bool forget_if_gone(ServerId id);
+    bool erase_if_unused(ServerId id);
 
     /// Sets the time from which changes that the known list lacks count as notified.
     void set_stale_at(Millis time) { stale_at_ = time; }
--- a/tests/policy/endpoint_set_test.cpp
+++ b/tests/policy/endpoint_set_test.cpp
@@ -98,11 +98,11 @@
     EXPECT_EQ(update(endpoints, ListKind::full, make_servers(1)), (std::vector<ServerId>{3}));
     ASSERT_NE(endpoints.find(2), nullptr);
     EXPECT_EQ(identifiers(endpoints.active()), (std::vector<ServerId>{1}));
-    EXPECT_FALSE(endpoints.forget_if_gone(2));
+    EXPECT_FALSE(endpoints.erase_if_unused(2));
     endpoints.at(2).in_flight = 0;
-    EXPECT_TRUE(endpoints.forget_if_gone(2));
+    EXPECT_TRUE(endpoints.erase_if_unused(2));
     EXPECT_EQ(endpoints.find(2), nullptr);
-    EXPECT_FALSE(endpoints.forget_if_gone(2)) << "no longer known";
+    EXPECT_FALSE(endpoints.erase_if_unused(2)) << "no longer known";
 }
 
 }  // namespace
