--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -146,7 +146,7 @@
     const Millis objective = request->request_class.latency_objective;
     if (!request->is_retry) admission.record_demand(objective, now);
     request->deadline = event.body_incomplete ? kNever : now + std::max(0.0, event.time_left);
-    request->hold_until = std::min(request->deadline, now + objective * kMaxWaitShareOfObjective);
+    request->wait_until = std::min(request->deadline, now + objective * kMaxWaitShareOfObjective);
     retry_budget.deposit();
     if (!event.body_incomplete) set_timer(request->deadline, request->id);
     route(*request);
@@ -214,17 +214,17 @@
 }
 
 bool Balancer::Impl::may_wait(const Request& request) const {
-    if (now >= request.hold_until || request.body_discarded) return false;
+    if (now >= request.wait_until || request.body_discarded) return false;
     if (request.attempts.size() >= settings.max_attempts) return false;
     return !request.first_possible_run() || request.request_class.idempotency != Idempotency::never;
 }
 
-/// Queues the request until there is capacity. A timer ends the wait at hold_until.
+/// Queues the request until there is capacity. A timer ends the wait at wait_until.
 void Balancer::Impl::wait_for_capacity(Request& request) {
     requests.enqueue(request.id);
-    if (request.has_hold_timer) return;
-    request.has_hold_timer = true;
-    set_timer(request.hold_until, request.id);
+    if (request.has_wait_timer) return;
+    request.has_wait_timer = true;
+    set_timer(request.wait_until, request.id);
 }
 
 void Balancer::Impl::release_waiting() {
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -42,10 +42,10 @@
     bool has_final_answer = false;
     bool response_started = false;
     bool body_discarded = false;
-    /// Whether the timer for hold_until is set.
-    bool has_hold_timer = false;
+    /// Whether the timer for wait_until is set.
+    bool has_wait_timer = false;
     /// The time until which the request may wait for capacity; after it the request gets a final answer.
-    Millis hold_until = 0;
+    Millis wait_until = 0;
     std::vector<Attempt> attempts;
 
     bool is_in_flight() const {
