--- a/tests/recorded_conversation_rig.hpp
+++ b/tests/recorded_conversation_rig.hpp
@@ -20,7 +20,9 @@
 
 inline std::string_view ending_of(error_code failed) { return failed == asio::error::eof ? kClosed : kReset; }
 
-/// Returns a body whose bytes show a lost, repeated or misplaced part.
+/// Returns a body of repeated alphabets that skips one letter every 251 bytes. Its pattern repeats only every
+/// 3263 bytes, so that a comparison of bodies detects a lost, repeated or misplaced block of, for example,
+/// 4096 bytes.
 inline std::string body_of_size(std::size_t size) {
     constexpr std::size_t kAlphabet = 26;
     constexpr std::size_t kRow = 251;
