--- a/src/node/downstream_listener.hpp
+++ b/src/node/downstream_listener.hpp
@@ -52,8 +52,9 @@
     /// Starts draining: accepts requests for the given time and closes each connection after its response,
     /// then only completes the requests that it has accepted.
     void drain(Millis accepting);
-    /// Ends the waiting for requests at the end of a drain. A request that has arrived completely by now is
-    /// still accepted, an incomplete one gets an error response, and the other connections are closed.
+    /// Stops accepting connections and reading requests at the end of a drain. A request that has arrived
+    /// completely by now is still accepted, an incomplete one gets an error response, and idle connections
+    /// are closed. A connection whose request is accepted is closed after its response.
     void close_waiting_connections();
     std::size_t connection_count() const { return connections_.size(); }
     net::Tcp::endpoint address() const { return address_; }
@@ -98,7 +99,8 @@
     boost::asio::steady_timer accept_timer_;  // for the next attempt to accept, after a pause
     net::FailurePace accept_pace_;
     boost::asio::steady_timer drain_timer_;
-    std::unordered_map<RequestId, downstream::ConnectionPtr> requests_;  // that have no response yet
+    /// The connections of the requests that have no response yet.
+    std::unordered_map<RequestId, downstream::ConnectionPtr> requests_;
     RequestId next_request_ = 1;
     bool draining_ = false;
     bool accepting_ = false;
--- a/src/node/graceful_shutdown.cpp
+++ b/src/node/graceful_shutdown.cpp
@@ -11,7 +11,8 @@
 
 /// For how long new connections are accepted. They arrive for up to 400 ms after the start of the shutdown.
 constexpr Millis kAcceptTime = 500;
-/// The platform may kill the process with SIGKILL this time plus the longest deadline after SIGTERM.
+/// The platform may send SIGKILL once the longest deadline of any request class plus this time has passed
+/// since SIGTERM.
 constexpr Millis kKillGrace = 700;
 /// The longest time for which the process may stall just when responses are due.
 constexpr Millis kMaxStall = 150;
