--- a/src/node/metrics.hpp
+++ b/src/node/metrics.hpp
@@ -36,7 +36,7 @@
     explicit Metrics(const std::vector<std::string>& class_names);
 
     /// Counts a request that has ended.
-    /// @throws std::out_of_range  the class does not exist.
+    /// @throws std::out_of_range if the class does not exist.
     void count(std::size_t class_index, RequestOutcome outcome);
 
     std::vector<Class> classes;
--- a/src/node/operator.hpp
+++ b/src/node/operator.hpp
@@ -31,7 +31,7 @@
     };
 
     /// Starts to listen.
-    /// @throws boost::system::system_error  it cannot listen on the address.
+    /// @throws boost::system::system_error if it cannot listen on the address.
     OperatorListener(boost::asio::io_context& io, const net::Tcp::endpoint& listen, Callbacks callbacks);
     ~OperatorListener();
     OperatorListener(const OperatorListener&) = delete;
--- a/src/node/peers.hpp
+++ b/src/node/peers.hpp
@@ -28,7 +28,7 @@
 
     /// @param peers  addresses of the other sidecars; messages from other addresses are dropped.
     /// @param all  address that reaches all the other sidecars. Absent: there is none.
-    /// @throws boost::system::system_error  it cannot listen on the address.
+    /// @throws boost::system::system_error if it cannot listen on the address.
     Peers(boost::asio::io_context& io, const net::Udp::endpoint& listen,
           std::vector<net::Udp::endpoint> peers, std::optional<net::Udp::endpoint> all, OnMessage on_message);
 
--- a/src/node/sidecar.hpp
+++ b/src/node/sidecar.hpp
@@ -39,10 +39,10 @@
 class Sidecar {
 public:
     /// @param io  runs all handlers; must outlive this.
-    /// @throws std::invalid_argument  the settings are invalid.
-    /// @throws config::ConfigError  it cannot listen on the operators' or the cluster's address.
-    /// @throws boost::system::system_error  it cannot listen on the address for clients or peers, or lacks a
-    ///         descriptor or memory.
+    /// @throws std::invalid_argument if a setting is invalid.
+    /// @throws config::ConfigError if it cannot listen on the address for operators or for the cluster.
+    /// @throws boost::system::system_error if it cannot listen on the address for clients or peers, or if a
+    ///     file descriptor or memory is lacking.
     Sidecar(boost::asio::io_context& io, config::Config config);
 
     /// Applies the address of discovery from a new configuration, and ignores the rest.
