--- a/src/lab/asio.hpp
+++ b/src/lab/asio.hpp
@@ -1,4 +1,6 @@
-// What every part of the lab needs of Asio: the names, coroutines, and a thread that runs one io_context.
+/// @file
+/// Asio support that all components of the lab share: type aliases, coroutine helpers and a worker thread
+/// that runs one io_context.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -32,17 +34,19 @@
 inline const Tcp::endpoint any_tcp_port(asio::ip::address_v4::loopback(), 0);
 inline const Udp::endpoint any_udp_port(asio::ip::address_v4::loopback(), 0);
 
-// co_await'ed operations that give their error instead of throwing it.
+/// Returns a completion token for co_await that stores the operation's error in `error` instead of throwing
+/// it.
 inline auto into(error_code& error) { return asio::redirect_error(asio::use_awaitable, error); }
 
+/// Closes the connection with a TCP reset.
 inline void reset_on_close(Tcp::socket& socket) {
     error_code ignored;
     socket.set_option(asio::socket_base::linger(true, 0), ignored);
     socket.close(ignored);
 }
 
-// A thread that runs one io_context. Its owner holds it as the first member, and calls stop() first in the
-// destructor: what the coroutines refer to then outlives them.
+/// Runs one io_context on its own thread. The owner declares the worker as its first member and calls stop()
+/// first in its destructor, so that the objects that the coroutines refer to outlive the coroutines.
 class Worker {
 public:
     Worker() : guard_(io_.get_executor()), thread_([this] { io_.run(); }) {}
@@ -55,7 +59,7 @@
         io_.stop();
         if (thread_.joinable()) thread_.join();
     }
-    // Runs `work` on the thread and waits for what it gives (or throws).
+    /// Runs `work` on the thread, waits for it, and returns its result or rethrows its exception.
     template <class Work>
     auto call(Work work) -> std::invoke_result_t<Work> {
         std::packaged_task<std::invoke_result_t<Work>()> task(std::move(work));
--- a/src/lab/discovery.cpp
+++ b/src/lab/discovery.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::uint64_t kLongestHold = 60000;  // PROTOCOL, "Discovery"
+constexpr std::uint64_t kMaxHoldMs = 60000;  // The platform limits a watch to 60 s.
 
 std::optional<std::uint64_t> parameter(std::string_view target, std::string_view name) {
     const auto question = target.find('?');
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-DiscoveryStandIn::DiscoveryStandIn(AddressOf address_of, Millis service, Millis patience)
-    : address_of_(std::move(address_of)), service_(service), patience_(patience) {}
+DiscoveryStandIn::DiscoveryStandIn(AddressOf address_of, Millis service, Millis max_wait)
+    : address_of_(std::move(address_of)), service_(service), max_wait_(max_wait) {}
 
 DiscoveryStandIn::~DiscoveryStandIn() { worker_.stop(); }
 
@@ -46,10 +46,10 @@
     });
 }
 
-void DiscoveryStandIn::changed(std::string id) { changed_at_[std::move(id)] = version_; }
+void DiscoveryStandIn::record_change(std::string id) { changed_at_[std::move(id)] = version_; }
 
-void DiscoveryStandIn::wake() {
-    for (Waiting* const waiting : waiting_) waiting->changed.cancel();
+void DiscoveryStandIn::wake_watches() {
+    for (Watch* const watch : watches_) watch->changed.cancel();
 }
 
 void DiscoveryStandIn::put(const std::vector<Entry>& entries) {
@@ -57,9 +57,9 @@
         ++version_;
         for (const Entry& entry : entries) {
             entries_[entry.id] = entry;
-            changed(entry.id);
+            record_change(entry.id);
         }
-        wake();
+        wake_watches();
     });
 }
 
@@ -68,9 +68,9 @@
         ++version_;
         for (const std::string& id : ids) {
             entries_.at(id).state = state;
-            changed(id);
+            record_change(id);
         }
-        wake();
+        wake_watches();
     });
 }
 
@@ -78,8 +78,8 @@
     worker_.call([&] {
         ++version_;
         entries_.at(id).started_ms = static_cast<std::uint64_t>(net::read_system_clock() + stepped_by_);
-        changed(id);
-        wake();
+        record_change(id);
+        wake_watches();
     });
 }
 
@@ -91,7 +91,7 @@
     worker_.call([&] {
         mode_ = mode;
         if (mode_ == Mode::up) return;
-        wake();
+        wake_watches();
         if (mode_ != Mode::resetting) return;
         for (const auto& weak : open_)
             if (const auto socket = weak.lock()) reset_on_close(*socket);
@@ -106,7 +106,7 @@
     return worker_.call([&] { return calls_; });
 }
 std::size_t DiscoveryStandIn::watches() {
-    return worker_.call([&] { return waiting_.size(); });
+    return worker_.call([&] { return watches_.size(); });
 }
 
 std::string DiscoveryStandIn::body(const std::string& viewer, std::uint64_t from) const {
@@ -157,21 +157,21 @@
         } else {
             const auto now = steady_clock::now();
             free_at_ = std::max(free_at_, now);
-            const bool crowded = free_at_ - now > to_duration(patience_);
-            if (!crowded) {
+            const bool overloaded = free_at_ - now > to_duration(max_wait_);
+            if (!overloaded) {
                 free_at_ += to_duration(service_);
                 timer.expires_at(free_at_);
                 co_await timer.async_wait(into(failed));
             }
             const auto from = parameter(target, "from").value_or(0);
-            const auto hold = std::min(parameter(target, "hold_ms").value_or(0), kLongestHold);
-            if (!crowded && from > 0 && hold > 0 && from == version_ && mode_ == Mode::up) {
-                Waiting waiting{asio::steady_timer(worker_.io(), std::chrono::milliseconds(hold))};
-                waiting_.push_back(&waiting);
-                co_await waiting.changed.async_wait(into(failed));
-                waiting_.remove(&waiting);
+            const auto hold = std::min(parameter(target, "hold_ms").value_or(0), kMaxHoldMs);
+            if (!overloaded && from > 0 && hold > 0 && from == version_ && mode_ == Mode::up) {
+                Watch watch{asio::steady_timer(worker_.io(), std::chrono::milliseconds(hold))};
+                watches_.push_back(&watch);
+                co_await watch.changed.async_wait(into(failed));
+                watches_.remove(&watch);
             }
-            if (crowded || mode_ != Mode::up)
+            if (overloaded || mode_ != Mode::up)
                 response.result(http::status::service_unavailable);
             else
                 response.body() = body(viewer.name, from);
--- a/src/lab/discovery.hpp
+++ b/src/lab/discovery.hpp
@@ -1,6 +1,8 @@
-// The stand-in for discovery, written from PROTOCOL, "Discovery": GET /catalog/members, watches with `from`
-// and `hold_ms`, versions, full lists and lists of changes, calls handled in turn, 503 or resets when down.
-// One thread. Each sidecar calls at a listener of its own, so that `addr` may differ between them.
+/// @file
+/// Simulates the discovery service: GET /catalog/members, watches with `from` and `hold_ms`, versions, full
+/// lists and lists of changes. It handles calls in order, and answers 503 or resets connections during an
+/// outage. It runs on one thread. Each sidecar has its own listener, so that `addr` may differ between
+/// sidecars.
 #pragma once
 
 #include <functional>
@@ -14,31 +16,40 @@
 
 namespace mothring::lab {
 
+/// Serves the endpoint list of an experiment to the sidecars.
 class DiscoveryStandIn {
 public:
+    /// A server in the endpoint list.
     struct Entry {
         std::string id, zone, kind = "standard";
         std::uint32_t cell = 0;
-        std::string state = "Ready";  // Terminating, Gone
+        std::string state = "Ready";  ///< Ready, Terminating or Gone.
         std::uint64_t started_ms = 0;
     };
     enum class Mode { up, refusing, resetting };
-    // Where `viewer` reaches the server.
+    /// Returns the address at which the sidecar `viewer` reaches the server.
     using AddressOf = std::function<Tcp::endpoint(const std::string& viewer, const std::string& server)>;
 
-    // `service`: the time one call takes; calls take turns, and one that would wait for longer than
-    // `patience` gets 503.
-    DiscoveryStandIn(AddressOf address_of, Millis service = 0.2, Millis patience = 1000);
+    /// `service` is the time that one call takes. Calls are handled one after another; a call that would wait
+    /// for longer than `max_wait` is answered with 503.
+    DiscoveryStandIn(AddressOf address_of, Millis service = 0.2, Millis max_wait = 1000);
     ~DiscoveryStandIn();
 
     // The functions below may be called from any thread.
+
+    /// Opens a listener for the sidecar `viewer` and returns its address.
     Tcp::endpoint add_viewer(const std::string& viewer);
-    void put(const std::vector<Entry>& entries);  // new ones, or changed: one version
+    /// Adds or replaces the entries, all in one new version of the list.
+    void put(const std::vector<Entry>& entries);
     void set_state(const std::vector<std::string>& ids, const std::string& state);
-    void restarted(const std::string& id);        // started_ms is now, by the servers' wall clocks
-    void step_clocks(Millis by);                  // theirs, from now on; forward where above 0
-    void set_mode(Mode mode);                     // going down ends the watches
-    std::string list(const std::string& viewer);  // the whole of it, as `known`
+    /// Sets the server's started_ms to the current time of the servers' wall clocks.
+    void restarted(const std::string& id);
+    /// Steps the servers' wall clocks: forward if `by` is positive, otherwise back.
+    void step_clocks(Millis by);
+    /// Sets the mode. Every mode but `up` ends the watches.
+    void set_mode(Mode mode);
+    /// Returns the full list for `viewer`, in the format of the setting `known`.
+    std::string list(const std::string& viewer);
     std::uint64_t calls();
     std::size_t watches();
 
@@ -47,26 +58,26 @@
         std::string name;
         Tcp::acceptor acceptor;
     };
-    struct Waiting {
+    struct Watch {
         asio::steady_timer changed;
     };
     Task accept(Viewer& viewer);
     Task serve(Viewer& viewer, std::shared_ptr<Tcp::socket> socket);
-    // The list for that viewer: the changes since `from`, or the whole.
+    /// Returns the list for that viewer: the changes since version `from`, or the full list.
     std::string body(const std::string& viewer, std::uint64_t from) const;
-    void changed(std::string id);
-    void wake();
+    void record_change(std::string id);
+    void wake_watches();
 
     Worker worker_;
     AddressOf address_of_;
-    Millis service_, patience_;
+    Millis service_, max_wait_;
     Mode mode_ = Mode::up;
-    Millis stepped_by_ = 0;  // the servers' wall clocks against this machine's
+    Millis stepped_by_ = 0;  ///< Offset of the servers' wall clocks from this machine's.
     std::uint64_t version_ = 0, calls_ = 0;
     std::map<std::string, Entry> entries_;
-    std::map<std::string, std::uint64_t> changed_at_;  // the version that changed it last
+    std::map<std::string, std::uint64_t> changed_at_;  ///< Version of the last change, by server.
     std::list<Viewer> viewers_;
-    std::list<Waiting*> waiting_;
+    std::list<Watch*> watches_;
     std::list<std::weak_ptr<Tcp::socket>> open_;
     std::chrono::steady_clock::time_point free_at_{};
 };
--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-// Beyond the longest class's limit, for the requests that are out as a play ends.
+// Time beyond the longest time-out of a request class, for the requests in flight at the end of a play.
 constexpr Millis kRequestMargin = 1000;
 
-// Each connection costs a descriptor at its client, two at the relay and one at its server, all in this
+// Each connection uses one descriptor at its client, two at the relay and one at its server, all in this
 // process.
 void raise_descriptor_limit() {
     rlimit limit{};
@@ -33,7 +33,7 @@
       platform_(scenario_),
       clients_(scenario_.classes, scenario_.rate, scenario_.seed + 1),
       fleet_(scenario_, std::filesystem::absolute(folder), std::filesystem::absolute(program), io_, platform_,
-             [this](std::size_t i, const Json& event) { heard(i, event); }),
+             [this](std::size_t i, const Json& event) { handle_event(i, event); }),
       faults_(scenario_, platform_, fleet_) {
     raise_descriptor_limit();
     std::filesystem::create_directories(std::filesystem::absolute(folder));
@@ -53,8 +53,9 @@
     };
     until([&] { return all_listen() || ended() != sidecars.end(); }, kStartLimit);
     if (const auto at = ended(); at != sidecars.end())
-        throw LabError("sidecar " + at->name + " ended at its start: see " + (at->folder / "log").string());
-    if (!all_listen()) throw LabError("the sidecars did not all listen within the limit");
+        throw LabError("sidecar " + at->name + " ended during its start: see " +
+                       (at->folder / "log").string());
+    if (!all_listen()) throw LabError("not all sidecars were listening within the start time limit");
 }
 
 bool Lab::all_listen() const {
@@ -64,7 +65,7 @@
     });
 }
 
-void Lab::heard(std::size_t i, const Json& event) {
+void Lab::handle_event(std::size_t i, const Json& event) {
     const Fleet::Sidecar& sidecar = fleet_.at(i);
     events_.record(since_begun(), sidecar.name, event);
     if (event.value("event", "") != "sidecar.listening") return;
@@ -84,7 +85,8 @@
         if (reached()) return true;
         if (steady_clock::now() >= end) return false;
         io_.restart();
-        // An event of a child ends the wait early; what the other threads do is looked for after a step.
+        // An event of a child process ends the wait early. State that other threads change is checked after
+        // each poll interval.
         io_.run_one_until(std::min(end, steady_clock::now() + to_duration(kPollInterval)));
     }
 }
@@ -132,11 +134,12 @@
     }
 }
 
-// What is out has its own limit of time; that of the longest class bounds the wait.
+// Each request in flight ends by its own time-out, so the longest time-out of all classes bounds the wait.
 void Lab::wait_for_requests() {
     Millis longest = 0;
-    for (const ClientClass& c : scenario_.classes) longest = std::max(longest, c.timeout);
-    until([&] { return clients_.out() == 0; }, longest + kRequestMargin);
+    for (const ClientClass& request_class : scenario_.classes)
+        longest = std::max(longest, request_class.timeout);
+    until([&] { return clients_.in_flight() == 0; }, longest + kRequestMargin);
 }
 
 // ---- Report
@@ -206,7 +209,7 @@
     return bytes_per_s;
 }
 
-// ---- Questions
+// ---- Queries
 
 std::size_t Lab::events(std::size_t sidecar, const std::string& name, const std::string& member) const {
     const std::string& of = fleet_.at(sidecar).name;
--- a/src/lab/lab.hpp
+++ b/src/lab/lab.hpp
@@ -1,6 +1,7 @@
-// One experiment: the stand-in platform, the relay, the clients and a fleet of sidecar processes, and the
-// timeline of a scenario played against them. Drive it from one thread, the one that made it: the sidecars
-// die with that thread.
+/// @file
+/// Runs one experiment: plays the timeline of a scenario against a simulated platform, a relay, clients and a
+/// fleet of sidecar processes. All functions must be called on the thread that created the lab, because the
+/// sidecar processes are killed when that thread ends.
 #pragma once
 
 #include <chrono>
@@ -19,38 +20,45 @@
 
 namespace mothring::lab {
 
+/// Owns all components of an experiment and plays its scenario.
 class Lab {
 public:
-    // `program`: the sidecar to start. `folder`: where its configurations, logs and temporary files go.
+    /// `program` is the sidecar's executable. `folder` receives the configurations, logs and temporary files.
     Lab(Scenario scenario, const std::filesystem::path& folder, const std::filesystem::path& program);
-    ~Lab();  // every child is killed and reaped
+    /// Kills and reaps every child process.
+    ~Lab();
     Lab(const Lab&) = delete;
     Lab& operator=(const Lab&) = delete;
 
-    // Starts everything and waits until each sidecar listens. Throws LabError naming the one that does not.
+    /// Starts all components and waits until every sidecar listens. Throws LabError if a sidecar ends, with
+    /// its name, or if not all sidecars listen in time.
     void start();
-    // Plays the scenario to its end, then waits for what is still out. `progress` is called several times a
-    // second with the time played; where it gives false the play ends there.
+    /// Plays the scenario to its end, then waits for the requests in flight. `progress` is called several
+    /// times per second with the time played, and ends the play by returning false.
     void play(const std::function<bool(Millis)>& progress = nullptr);
-    // What the play showed.
+    /// Returns the results of the play.
     Report report();
 
-    // Handles child output and timers until `reached`, for `limit` ms at the most; whether it was.
+    /// Handles the children's output and timers until `reached` returns true, for at most `limit` ms. Returns
+    /// whether it did.
     bool until(const std::function<bool()>& reached, Millis limit = 10000);
     void apply(const Fault& fault) { faults_.apply(fault); }
     void lift(const Fault& fault) { faults_.lift(fault); }
 
-    // For faults and questions apart from the timeline. Throw std::out_of_range where there is no such
-    // sidecar.
+    // The functions below apply faults and read state independently of the timeline. They throw
+    // std::out_of_range if there is no such sidecar.
+
     void signal(std::size_t sidecar, int number) { fleet_.signal(sidecar, number); }
-    void restart(std::size_t sidecar) { fleet_.restart(sidecar); }  // it must have ended
+    /// Restarts a sidecar that has ended.
+    void restart(std::size_t sidecar) { fleet_.restart(sidecar); }
     const Child* child(std::size_t sidecar) const { return fleet_.at(sidecar).child.get(); }
-    // How many events of that name the sidecar has written, over all its lives; where a member is named,
-    // about that one.
+    /// Returns how many events of that name the sidecar has logged over all its process instances. If
+    /// `member` isn't empty, counts only the events about that member.
     std::size_t events(std::size_t sidecar, const std::string& name, const std::string& member = "") const;
-    // The last such event, null where there is none.
+    /// Returns the last event of that name, or null if there is none.
     nlohmann::json last_event(std::size_t sidecar, const std::string& name) const;
-    // GET at the sidecar's operators' address: the body of a 200, or null. Bounded in time.
+    /// Fetches the metrics from the sidecar's operator address. Returns the body of a 200, or null. The call
+    /// has a time limit.
     nlohmann::json metrics(std::size_t sidecar) const;
     const Scenario& scenario() const { return scenario_; }
     const std::string& cluster_key() const { return fleet_.cluster_key(); }
@@ -65,7 +73,7 @@
         Millis at;
         std::function<void()> act;
     };
-    void heard(std::size_t i, const nlohmann::json& event);
+    void handle_event(std::size_t i, const nlohmann::json& event);
     bool all_listen() const;
     std::vector<Action> timeline();
     void begin_play();
@@ -77,7 +85,8 @@
     std::vector<Report::Band> fault_bands() const;
     std::vector<double> cluster_traffic() const;
 
-    // In this order: what is declared first is destroyed last, the sidecars before all that they use.
+    // The order matters: members are destroyed in reverse order, so the sidecars end before the components
+    // that they use.
     Scenario scenario_;
     asio::io_context io_{1};
     Platform platform_;
@@ -88,8 +97,8 @@
     std::chrono::steady_clock::time_point begun_ = std::chrono::steady_clock::now();
     Millis played_ = 0;
     bool interrupted_ = false;
-    double lab_cpu_before_ = 0;       // s, as the play began
-    std::vector<double> cpu_before_;  // s, the sidecars'
+    double lab_cpu_before_ = 0;       ///< CPU time of the lab at the start of the play.
+    std::vector<double> cpu_before_;  ///< CPU time of each sidecar at the start of the play, in seconds.
 };
 
 }  // namespace mothring::lab
