--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -15,9 +15,10 @@
 
 namespace {
 
-constexpr Millis kRetransmission = 200;  // the least a lost TCP segment is late by (RFC 6298, Linux's floor)
-constexpr std::size_t kPiece = 16 * 1024;
-constexpr std::size_t kLongestDatagram = 64 * 1024;
+// The minimum delay of a lost TCP segment: Linux's lower limit of the retransmission time-out (RFC 6298).
+constexpr Millis kRetransmissionDelay = 200;
+constexpr std::size_t kReadSize = 16 * 1024;
+constexpr std::size_t kMaxDatagramSize = 64 * 1024;
 
 }  // namespace
 
@@ -42,18 +43,19 @@
 Relay::~Relay() { worker_.stop(); }
 
 std::unique_ptr<Relay::Direction> Relay::direction(const std::string& from, const std::string& to) {
-    auto made = std::make_unique<Direction>(
+    auto created = std::make_unique<Direction>(
         Direction{from, to, {}, asio::steady_timer(worker_.io(), steady_clock::time_point::max())});
-    judge(*made);
-    return made;
+    update_conditions(*created);
+    return created;
 }
 
-void Relay::judge(Direction& d) {
-    d.now = {};
+void Relay::update_conditions(Direction& direction) {
+    direction.now = {};
     for (const auto& [id, rule] : rules_) {
-        const bool forth = rule.from.contains(d.from) && rule.to.contains(d.to);
-        const bool back = rule.both_ways && rule.from.contains(d.to) && rule.to.contains(d.from);
-        if (forth || back) d.now.add(rule.conditions);
+        const bool forward = rule.from.contains(direction.from) && rule.to.contains(direction.to);
+        const bool backward =
+            rule.both_ways && rule.from.contains(direction.to) && rule.to.contains(direction.from);
+        if (forward || backward) direction.now.add(rule.conditions);
     }
 }
 
@@ -65,8 +67,8 @@
     link.out = direction(from, to);
     link.back = direction(to, from);
     link.target = std::move(target);
-    // The port is the system's choice, and then bound by number: a listener that is shut down, so that
-    // connections are refused, keeps only a port it asked for.
+    // The system chooses a free port, and the listener then binds that port by number. A listener that is
+    // shut down to refuse connections keeps its port only if it was bound by number.
     Tcp::acceptor chosen(worker_.io(), Tcp::v4());
     chosen.set_option(asio::socket_base::reuse_address(true));
     chosen.bind(any_tcp_port);
@@ -98,7 +100,8 @@
     link.connections.clear();
 }
 
-// Silence: the listener's queue is as short as can be and full, so that the kernel drops what would connect.
+// Silences a link by giving its listener the shortest possible queue and filling it, so that the kernel drops
+// new connection attempts.
 void Relay::apply(Link& link) {
     error_code ignored;
     if (link.out->now.reset || link.back->now.reset) end_connections(link);
@@ -109,7 +112,7 @@
         link.acceptor->cancel(ignored);
         ::listen(link.acceptor->native_handle(), 0);
         link.filler.emplace(worker_.io(), Tcp::v4());
-        // Begun and not waited for: where the queue is full already it would never come up.
+        // The connect isn't awaited: if the queue is already full, the connection is never established.
         link.filler->native_non_blocking(true, ignored);
         const Tcp::endpoint own = link.acceptor->local_endpoint();
         static_cast<void>(
@@ -179,27 +182,27 @@
     worker_.spawn(pump(connection, connection->far, connection->near, *link.back));
 }
 
-Millis Relay::delay_of(const Conditions& c) {
-    std::uniform_real_distribution<double> even(0, 1);
-    return c.delay + (c.jitter > 0 ? c.jitter * even(random_) : 0);
+Millis Relay::delay_of(const Conditions& conditions) {
+    std::uniform_real_distribution<double> uniform(0, 1);
+    return conditions.delay + (conditions.jitter > 0 ? conditions.jitter * uniform(random_) : 0);
 }
 
 Task Relay::pump(std::shared_ptr<Connection> connection, Tcp::socket& in, Tcp::socket& out,
                  Direction& direction) {
-    std::uniform_real_distribution<double> even(0, 1);
-    std::vector<char> piece(kPiece);
+    std::uniform_real_distribution<double> uniform(0, 1);
+    std::vector<char> buffer(kReadSize);
     asio::steady_timer timer(worker_.io());
     for (;;) {
         error_code failed, ignored;
-        const std::size_t size = co_await in.async_read_some(asio::buffer(piece), into(failed));
+        const std::size_t size = co_await in.async_read_some(asio::buffer(buffer), into(failed));
         if (failed == asio::error::operation_aborted || !out.is_open()) co_return;
         Millis delay = delay_of(direction.now);
-        if (direction.now.drop > 0 && even(random_) < direction.now.drop) delay += kRetransmission;
+        if (direction.now.drop > 0 && uniform(random_) < direction.now.drop) delay += kRetransmissionDelay;
         if (delay > 0) {
             timer.expires_after(to_duration(delay));
             co_await timer.async_wait(into(ignored));
         }
-        // An end, too, is only seen once something passes.
+        // The end of a stream, like its data, is held back while the direction is silent.
         while (direction.now.silent && out.is_open()) co_await direction.changed.async_wait(into(ignored));
         if (failed == asio::error::eof) {
             out.shutdown(Tcp::socket::shutdown_send, ignored);
@@ -210,7 +213,7 @@
             co_return;
         }
         counts_.bytes += size;
-        co_await asio::async_write(out, asio::buffer(piece.data(), size), into(failed));
+        co_await asio::async_write(out, asio::buffer(buffer.data(), size), into(failed));
         if (failed) {
             connection->reset();
             co_return;
@@ -242,8 +245,8 @@
 }
 
 Task Relay::receive(UdpEnd& end) {
-    std::uniform_real_distribution<double> even(0, 1);
-    std::vector<std::uint8_t> buffer(kLongestDatagram);
+    std::uniform_real_distribution<double> uniform(0, 1);
+    std::vector<std::uint8_t> buffer(kMaxDatagramSize);
     for (;;) {
         error_code failed;
         Udp::endpoint sender;
@@ -253,7 +256,7 @@
         if (failed) continue;
         ++counts_.datagrams;
         const Conditions& now = end.out->now;
-        if (now.silent || (now.drop > 0 && even(random_) < now.drop)) {
+        if (now.silent || (now.drop > 0 && uniform(random_) < now.drop)) {
             ++counts_.datagrams_lost;
             continue;
         }
@@ -273,7 +276,8 @@
         ++counts_.datagrams_lost;
         co_return;
     }
-    // From the receiver's own link to the sender, so that it sees there whom it is from.
+    // The datagram is sent from the receiver's own link to the sender, so that its source address identifies
+    // the sender.
     udp_.at({from.other, from.owner}).socket.send_to(asio::buffer(bytes), at->second, 0, ignored);
 }
 
@@ -282,7 +286,7 @@
 Relay::RuleId Relay::add(Rule rule) {
     return worker_.call([&] {
         rules_.emplace(next_rule_, std::move(rule));
-        rules_changed();
+        apply_rules();
         return next_rule_++;
     });
 }
@@ -290,19 +294,19 @@
 void Relay::remove(RuleId rule) {
     worker_.call([&] {
         rules_.erase(rule);
-        rules_changed();
+        apply_rules();
     });
 }
 
-void Relay::rules_changed() {
+void Relay::apply_rules() {
     for (Link& link : links_) {
-        judge(*link.out);
-        judge(*link.back);
+        update_conditions(*link.out);
+        update_conditions(*link.back);
         link.out->changed.cancel();
         link.back->changed.cancel();
         apply(link);
     }
-    for (auto& [key, end] : udp_) judge(*end.out);
+    for (auto& [key, end] : udp_) update_conditions(*end.out);
 }
 
 Relay::Counts Relay::counts() {
--- a/src/lab/scan_server.cpp
+++ b/src/lab/scan_server.cpp
@@ -127,7 +127,7 @@
     connection->socket.set_option(Tcp::no_delay(true), failed);
     for (;;) {
         connection->request = {};
-        // Closed no later than when it has stood idle for the time in the settings.
+        // The platform requires that an idle connection is closed no later than the configured idle time.
         connection->idle.expires_after(to_duration(behaviour_.idle_close));
         connection->idle.async_wait([weak = std::weak_ptr(connection)](error_code cancelled) {
             if (const auto idle = weak.lock(); idle && !cancelled) idle->socket.close(cancelled);
@@ -172,16 +172,16 @@
                                : !request["Idempotency-Key"].empty() ? Idempotency::with_key
                                                                      : Idempotency::never;
     std::uniform_real_distribution<double> share(0, 1);
-    const bool away = share(random_) < behaviour_.turn_away_share ||
-                      (at_work_ >= behaviour_.slots && waiting_.size() >= behaviour_.queue);
-    ledger_->arrived(id, effect, !away);
-    if (away) {
+    const bool rejected = share(random_) < behaviour_.turn_away_share ||
+                          (at_work_ >= behaviour_.slots && waiting_.size() >= behaviour_.queue);
+    ledger_->arrived(id, effect, !rejected);
+    if (rejected) {
         ++counts_.turned_away;
         response.result(http::status::service_unavailable);
         response.set("Not-Started", "1");
         co_return co_await reply();
     }
-    // A slot is handed on in the order of arrival.
+    // Free slots are assigned in the order of arrival.
     while (at_work_ >= behaviour_.slots) {
         asio::steady_timer turn(worker_.io(), steady_clock::time_point::max());
         waiting_.push_back(&turn);
@@ -191,10 +191,12 @@
     asio::steady_timer work(worker_.io(),
                             to_duration(behaviour_.latency.sample(random_) * behaviour_.slow / capacity()));
     co_await work.async_wait(into(failed));
-    if (behaviour_.silent) {  // whoever waits gives up, or the machine is reset
+    // A silent server holds the slot until the sidecar sends more data or closes, or until set_down() resets
+    // the connection.
+    if (behaviour_.silent) {
         ++counts_.silent;
-        std::array<char, 64> scrap;
-        co_await connection.socket.async_read_some(asio::buffer(scrap), into(failed));
+        std::array<char, 64> discarded;
+        co_await connection.socket.async_read_some(asio::buffer(discarded), into(failed));
         release();
         co_return false;
     }
--- a/src/lab/scan_server.hpp
+++ b/src/lab/scan_server.hpp
@@ -1,6 +1,7 @@
-// The stand-in for a scan server, written from PROTOCOL, "Sidecars to scan servers": answers of 200, 500 and
-// 503 with Not-Started, silence, resets, load reports, /ping and /_load, idle close, and a cold start whose
-// capacity rises evenly. One thread each.
+/// @file
+/// Simulates a scan server: answers of 200, 500 and 503 with Not-Started, missing answers, resets, load
+/// reports, /ping and /_load, closing of idle connections, and a cold start with linearly rising capacity.
+/// Each server runs on its own thread.
 #pragma once
 
 #include <deque>
@@ -15,29 +16,31 @@
 
 namespace mothring::lab {
 
+/// A distribution of service times.
 struct Latency {
     enum class Kind { constant, uniform, exponential, lognormal };
     Kind kind = Kind::lognormal;
-    Millis ms = 8;       // the value, the least, the mean or the median
-    double spread = .5;  // uniform: the greatest, in ms; lognormal: sigma of the logarithm
+    Millis ms = 8;       ///< The value, minimum, mean or median, depending on the kind.
+    double spread = .5;  ///< uniform: the maximum in ms; lognormal: sigma of the logarithm.
     Millis sample(std::mt19937_64& random) const;
 };
 
-// How a server behaves; shares are of the requests it takes, 0 to 1.
+/// The behaviour of a server. Shares are fractions, from 0 to 1, of the requests it receives.
 struct Behaviour {
     Latency latency;
-    double slow = 1;  // its latency times this
+    double slow = 1;  ///< Factor on the latency.
     double error_share = 0, turn_away_share = 0, reset_share = 0;
-    bool silent = false;     // takes requests, answers nothing
-    std::size_t slots = 16;  // at work at a time
-    std::size_t queue = 32;  // waiting; beyond: 503 with Not-Started
-    bool reports = true;     // Server-Load with every answer
+    bool silent = false;     ///< Accepts requests but doesn't answer them.
+    std::size_t slots = 16;  ///< Requests processed concurrently.
+    std::size_t queue = 32;  ///< Requests that may wait; further ones get 503 with Not-Started.
+    bool reports = true;     ///< Sends Server-Load with every answer.
     Millis idle_close = 15000;
     std::size_t body_bytes = 256;
-    double cold_from = 1;  // the share of its capacity it starts with,
-    Millis warm_ms = 0;    // which becomes the whole evenly in this time
+    double cold_from = 1;  ///< Share of the capacity available after a cold start.
+    Millis warm_ms = 0;    ///< Time in which the capacity rises linearly to its full value.
 };
 
+/// Serves the requests of the sidecars with a configurable behaviour, and records them in a ledger.
 class ScanServer {
 public:
     ScanServer(std::string name, std::string zone, const Behaviour& behaviour, std::uint64_t seed,
@@ -51,25 +54,28 @@
     // The functions below may be called from any thread.
     void set(const Behaviour& behaviour);
     Behaviour behaviour();
-    // Resets its connections and refuses new ones until up again; it then starts cold.
+    /// Takes the server down or up. While it is down, its open connections and all new ones are reset. A
+    /// server that comes back starts cold.
     void set_down(bool down);
 
     struct Counts {
         std::uint64_t arrived = 0, served = 0, errors = 0, turned_away = 0, resets = 0, silent = 0, pings = 0;
         std::size_t most_at_work = 0, open = 0;
-        std::vector<std::uint64_t> seconds;  // arrivals, by the second since `start_seconds`
+        std::vector<std::uint64_t> seconds;  ///< Arrivals in each second since start_seconds().
     };
     Counts counts();
-    void start_seconds();  // the series begins now
+    /// Starts the per-second series of arrivals.
+    void start_seconds();
 
 private:
     struct Connection;
     using ConnectionPtr = std::shared_ptr<Connection>;
     Task accept();
     Task serve(ConnectionPtr connection);
-    // Gives false where the connection is to end.
+    /// Answers the connection's request and returns whether the connection stays open.
     asio::awaitable<bool> answer(Connection& connection);
-    double capacity() const;  // of the whole, now
+    /// Returns the current share of the full capacity.
+    double capacity() const;
     std::string load() const;
     void release();
 
