--- a/src/lab/fault_injector.cpp
+++ b/src/lab/fault_injector.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-// Whether it is a rule of the relay.
-bool is_of_relay(FaultKind kind) {
+// Returns whether the fault is carried out by a rule of the relay.
+bool is_relay_fault(FaultKind kind) {
     return kind == FaultKind::partition || kind == FaultKind::delay || kind == FaultKind::drop ||
            kind == FaultKind::reset;
 }
 
-// Of a sidecar's or a server's name, such as n1: its place in the fleet, from 0.
+// Returns the zero-based index of a sidecar or server from its name: 0 for n1.
 std::size_t index_of(const std::string& node) {
     return static_cast<std::size_t>(std::stoul(node.substr(1))) - 1;
 }
@@ -24,7 +24,7 @@
 
 void FaultInjector::apply(const Fault& fault) {
     const auto targets = scenario_.select(fault.from);
-    if (is_of_relay(fault.kind))
+    if (is_relay_fault(fault.kind))
         rules_[&fault] =
             platform_.relay().add({targets, scenario_.select(fault.to), fault.both_ways, fault.conditions});
     else if (fault.kind == FaultKind::discovery)
@@ -37,7 +37,7 @@
 
 void FaultInjector::lift(const Fault& fault) {
     const auto targets = scenario_.select(fault.from);
-    if (is_of_relay(fault.kind)) {
+    if (is_relay_fault(fault.kind)) {
         if (const auto rule = rules_.extract(&fault)) platform_.relay().remove(rule.mapped());
     } else if (fault.kind == FaultKind::discovery) {
         platform_.discovery().set_mode(DiscoveryStandIn::Mode::up);
@@ -66,7 +66,7 @@
         case FaultKind::reset:
         case FaultKind::list:
         case FaultKind::discovery:
-            return;  // not of one node: see apply()
+            return;  // These faults don't belong to a single node; apply() handles them.
     }
 }
 
@@ -86,7 +86,7 @@
         case FaultKind::reset:
         case FaultKind::list:
         case FaultKind::discovery:
-            return;  // ended by a restart, or not of one node: see lift()
+            return;  // A restart ends the fault, or lift() handles it because it has no single node.
     }
 }
 
@@ -110,7 +110,7 @@
     if (const auto before = behaviours_.extract(node)) server(node).set(before.mapped());
 }
 
-// A server that is down refuses connections, at the relay too; discovery hears of its restart.
+// A server that is down refuses connections, also at the relay. Its restart is recorded in discovery.
 void FaultInjector::set_down(const std::string& node, bool down) {
     if (down) {
         platform_.relay().set_refused(node, true);
--- a/src/lab/fault_injector.hpp
+++ b/src/lab/fault_injector.hpp
@@ -1,4 +1,6 @@
-// Carries out the faults of a scenario, and lifts them: at the relay, on processes, at the stand-ins.
+/// @file
+/// Applies and lifts the faults of a scenario at the relay, the sidecar processes, the simulated servers and
+/// discovery.
 #pragma once
 
 #include <map>
@@ -10,14 +12,16 @@
 
 namespace mothring::lab {
 
+/// Applies the faults of one scenario to its platform and fleet.
 class FaultInjector {
 public:
-    // All must outlive it.
+    /// All arguments must outlive the injector.
     FaultInjector(const Scenario& scenario, Platform& platform, Fleet& fleet);
 
-    // The fault takes hold of all that it names. `fault` is known again by its address when it is lifted.
+    /// Applies the fault to all nodes that it names. lift() identifies the fault by its address, so the same
+    /// object must be passed to both.
     void apply(const Fault& fault);
-    // What can be undone is: not a kill or a drain, which end by their own restart.
+    /// Undoes the fault. Has no effect on a kill or a drain, which end with the sidecar's restart.
     void lift(const Fault& fault);
 
 private:
@@ -32,8 +36,9 @@
     const Scenario& scenario_;
     Platform& platform_;
     Fleet& fleet_;
-    std::map<const Fault*, Relay::RuleId> rules_;  // in force
-    std::map<std::string, Behaviour> behaviours_;  // to go back to, of servers with a fault
+    std::map<const Fault*, Relay::RuleId> rules_;  ///< Relay rules in force.
+    /// Original behaviour of the servers with a fault, by name.
+    std::map<std::string, Behaviour> behaviours_;
 };
 
 }  // namespace mothring::lab
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-// 127.X.Y.1, with X from 1 to 250 and Y from 0 to 249, so that experiments at a time seldom meet.
+// Returns a random address 127.X.Y.1, with X from 1 to 250 and Y from 0 to 249, so that concurrent
+// experiments rarely use the same addresses.
 std::uint32_t draw_first_address() {
     std::random_device random;
     return 127U << 24 | (1 + random() % 250) << 16 | random() % 250 << 8 | 1;
@@ -24,7 +25,7 @@
     to.memory_kb = std::max(to.memory_kb, more.memory_kb);
 }
 
-// It exited with 0, or was killed.
+// Returns whether the process exited with 0 or was ended by SIGKILL.
 bool ended_well(int status) {
     return (WIFEXITED(status) && WEXITSTATUS(status) == 0) ||
            (WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL);
@@ -55,8 +56,8 @@
         Sidecar& sidecar = sidecars_[i];
         sidecar.name = scenario_.sidecar_name(i);
         sidecar.folder = folder_ / sidecar.name;
-        // An address of its own, so that nobody takes its ports while it is down: the system gives other
-        // sockets theirs at 127.0.0.1.
+        // Each sidecar has its own address, so that no other socket takes its ports while it is down: the
+        // other sockets get their ports at 127.0.0.1.
         const asio::ip::address_v4 own(first_address_ + static_cast<std::uint32_t>(i));
         sidecar.addresses.listen.address(own);
         sidecar.addresses.operators.address(own);
@@ -72,7 +73,7 @@
     const Json known = Json::parse(platform_.discovery().list(sidecar.name));
     config_.write(i, sidecar.starts, sidecar.addresses, known, sidecar.folder);
     ++sidecar.starts;
-    sidecar.told_to_end = false;
+    sidecar.end_requested = false;
     const std::vector<std::string> command{program_.string(), "run", "--config",
                                            (sidecar.folder / "sidecar.toml").string()};
     const std::map<std::string, std::string> environment{
@@ -98,13 +99,13 @@
 
 void Fleet::signal(std::size_t i, int number) {
     Sidecar& sidecar = sidecars_.at(i);
-    sidecar.told_to_end |= number == SIGKILL || number == SIGTERM;
+    sidecar.end_requested |= number == SIGKILL || number == SIGTERM;
     sidecar.child->signal(number);
 }
 
 void Fleet::restart(std::size_t i) {
     Sidecar& sidecar = sidecars_.at(i);
-    if (sidecar.child->running()) throw LabError("sidecar " + sidecar.name + " still runs");
+    if (sidecar.child->running()) throw LabError("sidecar " + sidecar.name + " is still running");
     note_ends();
     add(sidecar.past, sidecar.child->usage());
     launch(i);
@@ -119,7 +120,7 @@
     error_code ignored;
     co_await timer.async_wait(into(ignored));
     for (Millis waited = 0; sidecars_[i].child->running() && waited < kStartLimit; waited += kPollInterval) {
-        timer.expires_after(to_duration(kPollInterval));  // it drains
+        timer.expires_after(to_duration(kPollInterval));  // The sidecar is still draining.
         co_await timer.async_wait(into(ignored));
     }
     restart(i);
@@ -128,7 +129,7 @@
 void Fleet::note_ends() {
     for (Sidecar& sidecar : sidecars_) {
         if (!sidecar.child || sidecar.child->running()) continue;
-        sidecar.ended_badly |= !(sidecar.told_to_end && ended_well(*sidecar.child->status()));
+        sidecar.ended_badly |= !(sidecar.end_requested && ended_well(*sidecar.child->status()));
     }
 }
 
--- a/src/lab/fleet.hpp
+++ b/src/lab/fleet.hpp
@@ -1,5 +1,6 @@
-// The sidecar processes of an experiment: started with files and addresses of their own, signalled, started
-// again. One thread, the one that made it: the children die with it.
+/// @file
+/// Manages the sidecar processes of an experiment. All functions must be called on the thread that created
+/// the fleet, and the sidecar processes are killed when that thread ends.
 #pragma once
 
 #include <cstdint>
@@ -18,47 +19,53 @@
 
 namespace mothring::lab {
 
-// What keeps an experiment from going on.
+/// An error that ends the experiment.
 struct LabError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-inline constexpr Millis kPollInterval = 50;    // between looks at what is waited for
-inline constexpr Millis kStartLimit = 20'000;  // for all sidecars to listen, and for one to end its drain
+/// Interval between checks of a condition that is awaited.
+inline constexpr Millis kPollInterval = 50;
+/// Time limit for all sidecars to listen, and for one sidecar to finish draining.
+inline constexpr Millis kStartLimit = 20'000;
 
+/// Starts, signals and restarts sidecar processes, each with its own files and addresses.
 class Fleet {
 public:
+    /// One sidecar over all its process instances.
     struct Sidecar {
         std::string name;
         std::filesystem::path folder;
         SidecarAddresses addresses;
-        std::unique_ptr<Child> child;  // its latest life
-        Usage past;                    // of its earlier lives
+        std::unique_ptr<Child> child;  ///< The latest process instance.
+        Usage past;                    ///< Usage of the earlier process instances.
         unsigned starts = 0;
-        bool told_to_end = false, ended_badly = false;
-        Usage usage() const;  // of all its lives
+        bool end_requested = false, ended_badly = false;
+        /// Returns the usage of all process instances.
+        Usage usage() const;
     };
-    // A line that a sidecar logged.
+    /// Receives each line that a sidecar logs.
     using OnEvent = std::function<void(std::size_t sidecar, const nlohmann::json& event)>;
 
-    // `program`: the sidecar to start. `folder`: where each gets one of its own. What is given by reference
-    // must outlive it.
+    /// `program` is the sidecar's executable. Each sidecar gets its own folder in `folder`. All arguments
+    /// passed by reference must outlive the fleet.
     Fleet(const Scenario& scenario, std::filesystem::path folder, std::filesystem::path program,
           asio::io_context& io, Platform& platform, OnEvent on_event);
 
-    // Starts all; the platform must have been started.
+    /// Starts all sidecars. The platform must have been started before.
     void start();
-    // The addresses that its event sidecar.listening tells; they stay its own over restarts.
+    /// Records the addresses reported by the event sidecar.listening. The sidecar keeps them over restarts.
     void adopt_addresses(std::size_t i, const nlohmann::json& listening);
     void signal(std::size_t i, int number);
-    // With its name and addresses. Throws LabError where it still runs.
+    /// Starts the sidecar again with the same name and addresses. Throws LabError if it is still running.
     void restart(std::size_t i);
-    // Starts it again so many ms from now, once it has ended, which it has kStartLimit for.
+    /// Restarts the sidecar after `delay` ms. If it is still running then, waits up to kStartLimit for its
+    /// end.
     void restart_after(std::size_t i, Millis delay);
-    // Looks for sidecars that ended otherwise than they were told to.
+    /// Marks the sidecars that ended with a failure or without having been signalled to end.
     void note_ends();
 
-    // Throws std::out_of_range where there is none.
+    /// Throws std::out_of_range if there is no sidecar `i`.
     const Sidecar& at(std::size_t i) const { return sidecars_.at(i); }
     const std::vector<Sidecar>& sidecars() const { return sidecars_; }
     const std::string& cluster_key() const { return config_.cluster_key(); }
@@ -73,7 +80,7 @@
     Platform& platform_;
     OnEvent on_event_;
     SidecarConfig config_;
-    std::uint32_t first_address_;  // the first sidecar's, in 127.0.0.0/8; the others' follow
+    std::uint32_t first_address_;  ///< The first sidecar's address in 127.0.0.0/8; the others follow it.
     std::vector<Sidecar> sidecars_;
 };
 
--- a/src/lab/platform.hpp
+++ b/src/lab/platform.hpp
@@ -1,5 +1,6 @@
-// The stand-in platform of an experiment: scan servers, discovery, and the relay with a link from each
-// sidecar to each of them.
+/// @file
+/// The simulated platform of an experiment: scan servers, discovery, and a relay with a link from each
+/// sidecar to each scan server and to discovery.
 #pragma once
 
 #include <map>
@@ -15,23 +16,25 @@
 
 namespace mothring::lab {
 
+/// Creates and owns the simulated servers, discovery and the relay.
 class Platform {
 public:
-    // `scenario` must outlive it.
+    /// `scenario` must outlive the platform.
     explicit Platform(const Scenario& scenario);
 
-    // Starts the servers and discovery, which lists them all.
+    /// Starts the servers, and discovery with all of them in its list.
     void start();
-    // Where the sidecar reaches discovery. Once for each, after start().
+    /// Returns the address at which the sidecar reaches discovery. Must be called once for each sidecar,
+    /// after start().
     Tcp::endpoint add_viewer(const std::string& sidecar);
 
     Relay& relay() { return relay_; }
-    // After start() only.
+    /// Must be called after start().
     DiscoveryStandIn& discovery() { return *discovery_; }
-    // Throws std::out_of_range where there is none.
+    /// Throws std::out_of_range if there is no server `i`.
     ScanServer& server(std::size_t i) { return *servers_.at(i); }
     const std::vector<std::unique_ptr<ScanServer>>& servers() const { return servers_; }
-    // What arrived at the servers.
+    /// Returns the record of the requests that arrived at the servers.
     Ledger& ledger() { return *ledger_; }
 
 private:
@@ -41,7 +44,8 @@
     std::shared_ptr<Ledger> ledger_ = std::make_shared<Ledger>();
     Relay relay_;
     std::vector<std::unique_ptr<ScanServer>> servers_;
-    std::map<std::pair<std::string, std::string>, Tcp::endpoint> links_;  // by sidecar and server
+    /// Addresses of the links, by sidecar and server.
+    std::map<std::pair<std::string, std::string>, Tcp::endpoint> links_;
     std::unique_ptr<DiscoveryStandIn> discovery_;
 };
 
--- a/src/lab/process.cpp
+++ b/src/lab/process.cpp
@@ -31,7 +31,7 @@
     return usage_of(r);
 }
 
-// The reading end of the child's standard error. Outlives the child while a read is under way.
+// Reads the child's output from a pipe. A pending read keeps it alive after the Child object is destroyed.
 struct Child::Output : std::enable_shared_from_this<Output> {
     Output(asio::io_context& io, int fd, const std::filesystem::path& path, OnEvent event)
         : pipe(io, fd), log(path, std::ios::app), on_event(std::move(event)) {}
@@ -56,24 +56,26 @@
     asio::streambuf buffer;
     std::ofstream log;
     OnEvent on_event;
-    std::function<void()> on_end;  // the child has closed it: it ends, or has
+    // Called when the child has closed its output, so it is ending or has ended.
+    std::function<void()> on_end;
 };
 
 Child::Child(asio::io_context& io, const std::vector<std::string>& argv,
              const std::map<std::string, std::string>& environment, const std::filesystem::path& log,
              OnEvent on_event) {
-    // All that allocates happens before the fork: other threads may hold any lock.
-    std::vector<std::string> words;
+    // All memory is allocated before the fork, because another thread may hold the allocator's lock during
+    // it.
+    std::vector<std::string> variables;
     for (char** at = environ; *at; ++at) {
-        const std::string word = *at;
-        if (!environment.contains(word.substr(0, word.find('=')))) words.push_back(word);
+        const std::string variable = *at;
+        if (!environment.contains(variable.substr(0, variable.find('=')))) variables.push_back(variable);
     }
-    for (const auto& [name, value] : environment) words.push_back(name + "=" + value);
+    for (const auto& [name, value] : environment) variables.push_back(name + "=" + value);
     std::vector<char*> env, args;
-    for (std::string& word : words) env.push_back(word.data());
+    for (std::string& variable : variables) env.push_back(variable.data());
     env.push_back(nullptr);
-    std::vector<std::string> copies = argv;
-    for (std::string& word : copies) args.push_back(word.data());
+    std::vector<std::string> arguments = argv;
+    for (std::string& argument : arguments) args.push_back(argument.data());
     args.push_back(nullptr);
     int ends[2];
     if (::pipe2(ends, O_CLOEXEC) != 0) throw std::system_error(errno, std::generic_category(), "pipe");
@@ -83,7 +85,7 @@
     if (pid_ == 0) {
         ::setpgid(0, 0);
         ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-        if (::getppid() != parent) ::_exit(126);  // it died before that took hold
+        if (::getppid() != parent) ::_exit(126);  // The parent died before prctl() took effect.
         sigset_t none;
         sigemptyset(&none);
         ::sigprocmask(SIG_SETMASK, &none, nullptr);
@@ -95,10 +97,10 @@
         ::execve(args[0], args.data(), env.data());
         ::_exit(127);
     }
-    ::setpgid(pid_, pid_);  // whoever is first
+    ::setpgid(pid_, pid_);  // Parent and child both set the group, so that it exists whichever runs first.
     ::close(ends[1]);
     output_ = std::make_shared<Output>(io, ends[0], log, std::move(on_event));
-    output_->on_end = [this] { ended(); };
+    output_->on_end = [this] { reap(); };
     output_->read();
 }
 
@@ -107,7 +109,7 @@
     output_->on_event = nullptr;
     if (running()) {
         ::kill(-pid_, SIGKILL);
-        ended();
+        reap();
     }
     error_code ignored;
     output_->pipe.close(ignored);
@@ -117,18 +119,18 @@
     if (running()) ::kill(pid_, number);
 }
 
-void Child::ended() {
+void Child::reap() {
     if (status_) return;
     int status = 0;
     rusage r{};
     while (::wait4(pid_, &status, 0, &r) < 0 && errno == EINTR) {
     }
-    last_ = usage_of(r);
+    final_usage_ = usage_of(r);
     status_ = status;
 }
 
 Usage Child::usage() const {
-    if (status_) return last_;
+    if (status_) return final_usage_;
     Usage usage;
     std::ifstream stat("/proc/" + std::to_string(pid_) + "/stat");
     std::string text((std::istreambuf_iterator<char>(stat)), {});
@@ -137,7 +139,7 @@
     for (int field = 3; field < 14 && rest >> skipped; ++field) {
     }
     double user = 0, system = 0;
-    rest >> user >> system;  // fields 14 and 15 of proc(5), in clock ticks
+    rest >> user >> system;  // Fields 14 and 15 of /proc/PID/stat (see proc(5)), in clock ticks.
     usage.cpu_s = (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
     std::ifstream statm("/proc/" + std::to_string(pid_) + "/statm");
     std::uint64_t size = 0, resident = 0;
--- a/src/lab/process.hpp
+++ b/src/lab/process.hpp
@@ -1,6 +1,7 @@
-// A child process of the lab: in a process group of its own, killed by the kernel when the lab's thread that
-// started it dies, and reaped by its owner. What it writes to standard error, one JSON object a line, is
-// kept in a file and given on as events.
+/// @file
+/// Runs a child process of the lab in its own process group. The kernel kills the child when the thread that
+/// started it ends, and the owner reaps it. The child's output, one JSON object per line, is appended to a
+/// file and passed on as events.
 #pragma once
 
 #include <sys/types.h>
@@ -22,39 +23,44 @@
 
 namespace mothring::lab {
 
+/// Resource usage of a process.
 struct Usage {
-    double cpu_s = 0;             // user and system, in seconds
-    std::uint64_t memory_kb = 0;  // the most resident
+    double cpu_s = 0;  ///< User and system time in seconds.
+    std::uint64_t memory_kb =
+        0;  ///< Resident memory: current value for a running child, otherwise the maximum.
 };
-// Of this process so far.
+/// Returns the usage of this process so far.
 Usage own_usage();
 
+/// A child process, whose log lines are reported as events.
 class Child {
 public:
     using OnEvent = std::function<void(const nlohmann::json&)>;
-    // Starts `argv` with `environment` added to the caller's. Must be called on a thread that lives as long
-    // as the child is to. Lines go to `log`, appended. Throws std::system_error.
+    /// Starts `argv` with `environment` added to the caller's environment, and appends the child's output to
+    /// `log`. The calling thread must outlive the child, because the kernel kills the child when that thread
+    /// ends. Throws std::system_error.
     Child(asio::io_context& io, const std::vector<std::string>& argv,
           const std::map<std::string, std::string>& environment, const std::filesystem::path& log,
           OnEvent on_event);
-    ~Child();  // SIGKILL to its group, and reaped
+    /// Sends SIGKILL to the process group of a running child and reaps the child.
+    ~Child();
     Child(const Child&) = delete;
     Child& operator=(const Child&) = delete;
 
     pid_t pid() const { return pid_; }
     bool running() const { return !status_; }
     void signal(int number) const;
-    // Its wait status, once it has ended.
+    /// Returns the wait status once the child has ended.
     std::optional<int> status() const { return status_; }
     Usage usage() const;
 
 private:
     struct Output;
-    void ended();
+    void reap();
 
     pid_t pid_ = -1;
     std::optional<int> status_;
-    Usage last_;  // what the kernel told when it was reaped
+    Usage final_usage_;  ///< Usage that the kernel reported when the child was reaped.
     std::shared_ptr<Output> output_;
 };
 
