--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -1,4 +1,6 @@
-// The fault lab itself, and the sidecar among several processes: killed, cut off, without discovery.
+/// @file
+/// Tests of the fault lab's components, and of sidecar processes under faults: killed or stopped processes,
+/// network partitions, outages of discovery.
 #include <signal.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
@@ -31,31 +33,32 @@
 effect = "once"
 )";
 
-// ---- The parts
+// ---- Components
 
-TEST(Histogram, ReadsEveryPercentileWithinAThirtySecondAbove) {
+TEST(Histogram, PercentilesExceedExactValuesByAtMostOneThirtySecond) {
     std::mt19937_64 random(7);
     std::lognormal_distribution<double> draw(9, 2);
-    Histogram whole, half, other;
+    Histogram combined, half, other;
     std::vector<std::uint64_t> values;
     for (int i = 0; i < 20000; ++i) {
         values.push_back(static_cast<std::uint64_t>(draw(random)));
-        whole.record(static_cast<double>(values.back()));
+        combined.record(static_cast<double>(values.back()));
         (i % 2 ? half : other).record(static_cast<double>(values.back()));
     }
     std::sort(values.begin(), values.end());
     half.add(other);
     for (const double share : {0.001, 0.25, 0.5, 0.9, 0.99, 0.999, 1.0}) {
         const auto rank = static_cast<std::size_t>(std::ceil(share * 20000)) - 1;
-        EXPECT_GE(whole.percentile(share), values[rank]) << share;
-        EXPECT_LE(static_cast<double>(whole.percentile(share)), static_cast<double>(values[rank]) * 33 / 32)
+        EXPECT_GE(combined.percentile(share), values[rank]) << share;
+        EXPECT_LE(static_cast<double>(combined.percentile(share)),
+                  static_cast<double>(values[rank]) * 33 / 32)
             << share;
-        EXPECT_EQ(half.percentile(share), whole.percentile(share)) << share;
+        EXPECT_EQ(half.percentile(share), combined.percentile(share)) << share;
     }
     EXPECT_EQ(Histogram().percentile(0.5), 0u);
 }
 
-TEST(DiscoveryStandIn, TellsStartsByTheServersSteppedClocks) {
+TEST(DiscoveryStandIn, ReportsStartTimesByTheServersSteppedClocks) {
     DiscoveryStandIn discovery([](const auto&, const auto&) { return any_tcp_port; });
     discovery.put({{"s-a", "hall-a"}});
     for (const Millis step : {-3600000.0, 5000.0, 3600000.0}) {
@@ -70,7 +73,7 @@
     }
 }
 
-TEST(Scenarios, NameTheKeyAndTheLineOfWhatIsWrong) {
+TEST(Scenarios, ErrorsNameTheKeyAndLine) {
     const std::vector<std::pair<std::string, std::string>> cases{
         {"duration_s = \"long\"\n", "s.toml:1: 'duration_s' expects a number from 0.1 to 3600"},
         {"[sidecars]\ncount = 0\n", "s.toml:2: 'sidecars.count' expects a whole number from 1 to 1024"},
@@ -90,13 +93,13 @@
         {"a = [\n", "s.toml:"}};
     for (const auto& [text, expected] : cases) try {
             read_scenario(text, "s.toml");
-            ADD_FAILURE() << "taken: " << text;
+            ADD_FAILURE() << "accepted: " << text;
         } catch (const config::ConfigError& error) {
             EXPECT_NE(std::string(error.what()).find(expected), std::string::npos) << error.what();
         }
 }
 
-TEST(Scenarios, SelectNodesByGroupNameAndZone) {
+TEST(Scenarios, SelectsNodesByGroupNameAndZone) {
     const Scenario s =
         read_scenario("zones = [\"a\", \"b\"]\n[sidecars]\ncount = 3\n[servers]\ncount = 2\n", "s.toml");
     using Nodes = std::set<std::string>;
@@ -107,7 +110,7 @@
     EXPECT_TRUE(s.select("n4").empty());
 }
 
-// Two plain sockets with the relay between them.
+// Connects plain sockets through the relay.
 struct RelayTest : testing::Test {
     asio::io_context io;
     Relay relay{1};
@@ -123,7 +126,7 @@
         }
         return reached();
     }
-    // The relay's own work on what came before is done when it answers.
+    // The relay has processed all earlier events when add() returns.
     Relay::RuleId cut(bool both_ways) {
         Conditions silent;
         silent.silent = true;
@@ -131,7 +134,7 @@
     }
 };
 
-TEST_F(RelayTest, ACutLinkIsSilentKeepsWhatWasSentAndTakesNoNewConnection) {
+TEST_F(RelayTest, SilentLinkHoldsBackDataAndNewConnectionsUntilRuleIsRemoved) {
     net::Tcp::socket near(io), far(io), late(io);
     near.connect(link);
     server.accept(far);
@@ -141,7 +144,7 @@
     bool arrived = false, connected = false;
     asio::async_read(far, asio::buffer(got), [&](error_code failed, std::size_t) { arrived = !failed; });
     late.async_connect(link, [&](error_code failed) { connected = !failed; });
-    // A link that is not cut passes a whole exchange meanwhile; the cut one nothing.
+    // Meanwhile a link without faults forwards data, and the silent link forwards nothing.
     net::Tcp::socket other_near(io), other_far(io);
     const net::Tcp::endpoint other = relay.tcp_link("n3", "s1", server.local_endpoint());
     other_near.connect(other);
@@ -156,7 +159,7 @@
     EXPECT_EQ(got, "held");
 }
 
-TEST_F(RelayTest, ANodeThatIsDownRefusesAndResetsAndComesBackAtItsAddress) {
+TEST_F(RelayTest, RefusedNodeResetsAndRefusesConnectionsAndLaterAcceptsAtSameAddress) {
     net::Tcp::socket near(io), far(io);
     near.connect(link);
     server.accept(far);
@@ -175,7 +178,7 @@
     EXPECT_TRUE(accepted.is_open());
 }
 
-TEST_F(RelayTest, DatagramsComeFromTheSendersLinkAndAOneWayCutStopsOneWay) {
+TEST_F(RelayTest, DatagramsArriveFromTheSendersLinkAndOneWayRuleBlocksOneDirection) {
     net::Udp::socket a(io, any_udp_port), b(io, any_udp_port);
     const net::Udp::endpoint to_b = relay.udp_link("n1", "n2"), to_a = relay.udp_link("n2", "n1");
     relay.set_peer_address("n1", a.local_endpoint());
@@ -184,7 +187,7 @@
     net::Udp::endpoint from;
     a.send_to(asio::buffer("ping", 4), to_b);
     EXPECT_EQ(b.receive_from(asio::buffer(buffer), from), 4u);
-    EXPECT_EQ(from, to_a);  // as b knows a
+    EXPECT_EQ(from, to_a);  // the address that b uses for a
     cut(false);
     a.send_to(asio::buffer("lost", 4), to_b);
     b.send_to(asio::buffer("back", 4), to_a);
@@ -194,30 +197,30 @@
     EXPECT_EQ(b.available(), 0u);
 }
 
-// ---- The sidecars
+// ---- Sidecar processes
 
-TEST_F(LabRig, RequestsTurnedAwayGoElsewhereAndThoseThatMayHaveRunDoNot) {
+TEST_F(LabRig, RejectedRequestIsRetriedElsewhereAndOneThatMayHaveRunIsNot) {
     start("[servers]\ncount = 2\n" + three_classes);
-    Behaviour away;
-    away.turn_away_share = 1;
-    lab->server(0).set(away);
+    Behaviour rejecting;
+    rejecting.turn_away_share = 1;
+    lab->server(0).set(rejecting);
     for (int i = 0; i < 6; ++i) {
         const auto r = send_and_wait(0, 2);
         EXPECT_EQ(r.end, End::served);
         EXPECT_EQ(r.server, "s2");
     }
     EXPECT_GT(lab->server(0).counts().turned_away, 0u);
-    Behaviour broken;
-    broken.reset_share = 1;
-    lab->server(0).set(broken);
-    lab->server(1).set(broken);
+    Behaviour resetting;
+    resetting.reset_share = 1;
+    lab->server(0).set(resetting);
+    lab->server(1).set(resetting);
     const auto r = send_and_wait(0, 2);
     EXPECT_NE(r.end, End::served);
-    EXPECT_EQ(lab->ledger().attempts_of(r.id), 1u);  // it may have run
+    EXPECT_EQ(lab->ledger().attempts_of(r.id), 1u);  // The request may have run, so it isn't repeated.
     EXPECT_EQ(lab->ledger().once_repeated(), 0u);
 }
 
-TEST_F(LabRig, AKilledSidecarsRequestsEndOnceAndItServesAgainUnderItsName) {
+TEST_F(LabRig, KilledSidecarEndsEachRequestOnceAndServesAgainAfterRestart) {
     start("[sidecars]\ncount = 2\n[servers]\ncount = 2\n[servers.latency]\nkind = \"constant\"\nms = 400\n" +
           three_classes);
     std::vector<std::future<Clients::Result>> asked;
@@ -226,22 +229,23 @@
     ASSERT_TRUE(lab->until([&] { return arrived() == 9; }));
     lab->signal(0, SIGKILL);
     for (auto& one : asked) {
-        const auto r = wait_for_result(one);  // each future is set once, or throws
+        const auto r = wait_for_result(one);  // Setting the result twice would throw.
         EXPECT_EQ(r.end, End::lost);
         EXPECT_EQ(lab->ledger().attempts_of(r.id), 1u);
     }
     ASSERT_TRUE(lab->until([&] { return !lab->child(0)->running(); }));
-    EXPECT_EQ(send_and_wait(1).end, End::served);  // the other one is not touched
+    EXPECT_EQ(send_and_wait(1).end, End::served);  // The other sidecar isn't affected.
     const auto before = lab->last_event(0, "sidecar.listening");
     lab->restart(0);
     ASSERT_TRUE(lab->until([&] { return lab->events(0, "sidecar.listening") == 2; }));
     EXPECT_EQ(lab->last_event(0, "sidecar.listening")["listen"], before["listen"]);
     for (std::size_t kind = 0; kind < 3; ++kind) EXPECT_EQ(send_and_wait(0, kind).end, End::served);
     EXPECT_EQ(lab->ledger().once_repeated(), 0u);
-    EXPECT_FALSE(lab->report().sidecars[0].ended_badly);  // the lab killed it
+    // The lab killed the sidecar, which counts as a requested end.
+    EXPECT_FALSE(lab->report().sidecars[0].ended_badly);
 }
 
-TEST_F(LabRig, WithDiscoveryDownWhileServersChangeTheFleetGoesOnAndThenCatchesUp) {
+TEST_F(LabRig, FleetServesDuringDiscoveryOutageAndThenReceivesTheChangedList) {
     start(R"(
 duration_s = 8
 [sidecars]
@@ -271,11 +275,12 @@
     const Report report = lab->report();
     const ClientTally all = report.clients();
     EXPECT_GT(all.all.all(), 500u);
-    EXPECT_EQ(all.all[End::served], all.all.all());  // repeatable: each found a server that was up
+    // Repeatable requests are retried on a server that is up.
+    EXPECT_EQ(all.all[End::served], all.all.all());
     EXPECT_EQ(report.once_repeated, 0u);
 }
 
-TEST_F(LabRig, HalfTheSidecarsCutOffFromHalfTheServersServeFromTheRest) {
+TEST_F(LabRig, SidecarsPartitionedFromHalfTheServersUseTheOtherHalf) {
     start(R"(
 duration_s = 9
 zones = ["a", "b"]
@@ -299,11 +304,12 @@
         const Tally& all = sidecar.clients.all;
         EXPECT_GT(all.all(), 200u) << sidecar.name;
         EXPECT_EQ(all[End::lost] + all[End::wrong] + all[End::unreachable], 0u) << sidecar.name;
-        // Those not cut off notice nothing.
+        // Sidecars outside the partition aren't affected.
         if (sidecar.zone == "b") {
             EXPECT_EQ(all[End::served], all.all()) << sidecar.name;
         }
-        // The last second of the cut: all that was sent before it was noticed is over (2.5 s, the deadline).
+        // In the last second of the partition, all requests sent before its detection have ended: their
+        // deadline is 2.5 s.
         ASSERT_GE(sidecar.clients.seconds.size(), 9u);
         const Tally& cut = sidecar.clients.seconds[5];
         EXPECT_GT(cut[End::served] * 10, cut.all() * 8) << sidecar.name;
@@ -312,11 +318,11 @@
         }
     }
     EXPECT_EQ(report.once_repeated, 0u);
-    // Afterwards the servers that were cut off are found again.
+    // After the partition the sidecar uses the servers of zone b again.
     EXPECT_TRUE(lab->until([&] { return send_and_wait(0).zone == "b"; }, 20000));
 }
 
-TEST_F(LabRig, AStoppedSidecarHoldsItsClientsAndGoesOnWhenContinued) {
+TEST_F(LabRig, StoppedSidecarAnswersPendingRequestAfterContinue) {
     start("[sidecars]\ncount = 2\n[servers]\ncount = 2\n");
     lab->signal(0, SIGSTOP);
     auto held = lab->clients().ask("n1", 0);
@@ -326,7 +332,7 @@
     EXPECT_EQ(wait_for_result(held).end, End::served);
 }
 
-TEST_F(LabRig, EverySidecarSendsAKeyToTheSameServerAndALostServerMovesItsOwnKeysOnly) {
+TEST_F(LabRig, AllSidecarsMapAKeyToTheSameServerAndTerminatingServerMovesOnlyItsKeys) {
     start(R"(
 [sidecars]
 count = 3
@@ -357,9 +363,9 @@
         }
 }
 
-// ---- The program
+// ---- The lab's command line
 
-struct Started {
+struct LabProcess {
     pid_t pid;
     int status() const {
         int status = 0;
@@ -367,7 +373,7 @@
         return status;
     }
 };
-Started start_lab(const std::filesystem::path& scenario, const std::filesystem::path& out) {
+LabProcess start_lab(const std::filesystem::path& scenario, const std::filesystem::path& out) {
     const std::filesystem::path err = scenario.string() + ".err";
     const pid_t pid = ::fork();
     if (pid != 0) return {pid};
@@ -377,7 +383,7 @@
     ::_exit(127);
 }
 
-TEST_F(LabRig, ThePlayedScenarioIsReportedAndAWrongOneStartsNothing) {
+TEST_F(LabRig, LabReportsPlayedScenarioAndStartsNothingForInvalidScenario) {
     std::ofstream(folder / "good.toml") << "duration_s = 1\n[sidecars]\ncount = 2\n[clients]\nrate = 50\n";
     ASSERT_EQ(start_lab(folder / "good.toml", folder / "out").status(), 0);
     std::ifstream file(folder / "out" / "report.json");
@@ -401,11 +407,12 @@
     EXPECT_NE(line.find("bad.toml:3: 'sidecars.count' expects a whole number"), std::string::npos) << line;
 }
 
-// The processes of sidecars n1 to n3 that a lab started there, once they listen.
+// Waits until the sidecars n1 to n3 of the lab with output folder `out` listen, and returns their
+// process ids.
 std::set<pid_t> sidecars_of(const std::filesystem::path& out) {
     std::set<pid_t> pids;
     asio::io_context io;
-    for (int look = 0; look < 400 && pids.size() < 3; ++look) {
+    for (int attempt = 0; attempt < 400 && pids.size() < 3; ++attempt) {
         for (const char* name : {"n1", "n2", "n3"}) {
             std::ifstream log(out / name / "log");
             std::string line;
@@ -420,32 +427,32 @@
 }
 const std::string long_scenario = "duration_s = 60\n[sidecars]\ncount = 3\n[clients]\nrate = 20\n";
 
-TEST_F(LabRig, AnInterruptedLabStopsItsSidecarsAndReportsWhatItPlayed) {
+TEST_F(LabRig, InterruptedLabStopsItsSidecarsAndWritesPartialReport) {
     std::ofstream(folder / "long.toml") << long_scenario;
-    const Started started = start_lab(folder / "long.toml", folder / "out");
+    const LabProcess lab_process = start_lab(folder / "long.toml", folder / "out");
     const auto pids = sidecars_of(folder / "out");
     EXPECT_EQ(pids.size(), 3u);
-    ::kill(started.pid, SIGINT);
-    EXPECT_EQ(WEXITSTATUS(started.status()), 130);
+    ::kill(lab_process.pid, SIGINT);
+    EXPECT_EQ(WEXITSTATUS(lab_process.status()), 130);
     std::ifstream file(folder / "out" / "report.json");
     EXPECT_TRUE(Json::parse(file, nullptr, false).value("interrupted", false));
     for (const pid_t pid : pids) EXPECT_EQ(::kill(-pid, 0), -1);  // reaped
 }
 
-TEST_F(LabRig, ALabThatIsKilledLeavesNoProcess) {
-    // Whatever it leaves behind becomes this process's child.
+TEST_F(LabRig, KilledLabLeavesNoProcess) {
+    // Orphaned processes of the lab become children of this process.
     ASSERT_EQ(::prctl(PR_SET_CHILD_SUBREAPER, 1), 0);
     std::ofstream(folder / "long.toml") << long_scenario;
-    const Started started = start_lab(folder / "long.toml", folder / "out");
+    const LabProcess lab_process = start_lab(folder / "long.toml", folder / "out");
     const auto pids = sidecars_of(folder / "out");
     ASSERT_EQ(pids.size(), 3u);
-    ::kill(started.pid, SIGKILL);
-    EXPECT_TRUE(WIFSIGNALED(started.status()));
+    ::kill(lab_process.pid, SIGKILL);
+    EXPECT_TRUE(WIFSIGNALED(lab_process.status()));
     for (const pid_t pid : pids) {
         int status = 0;
         EXPECT_EQ(::waitpid(pid, &status, 0), pid);
         EXPECT_TRUE(WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL);
-        EXPECT_EQ(::kill(-pid, 0), -1);  // nothing is left of its group
+        EXPECT_EQ(::kill(-pid, 0), -1);  // No process of its group is left.
     }
     ::prctl(PR_SET_CHILD_SUBREAPER, 0);
 }
