--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -48,7 +48,7 @@
     return series;
 }
 
-// The share-th of sorted values.
+// Returns the value at the given share (0 to 1) of the sorted values, or 0 if there is none.
 double at_share(const std::vector<double>& sorted, double share) {
     if (sorted.empty()) return 0;
     const auto rank = static_cast<std::size_t>(std::lround(share * static_cast<double>(sorted.size() - 1)));
@@ -65,13 +65,14 @@
                               {"p50_ms", at_share(d.after, 0.5)},
                               {"p99_ms", at_share(d.after, 0.99)},
                               {"max_ms", at_share(d.after, 1)}});
-    // How often each was told, and when last: after a fault is over, that is when the views agreed again.
+    // Each event's count and last time. After a fault has ended, the last time shows when the members' views
+    // became consistent again.
     Json events = Json::object();
     for (const auto& e : r.events) {
-        Json& told = events[e.event];
-        if (told.is_null()) told = {{"count", 0}};
-        told["count"] = told["count"].get<std::size_t>() + 1;
-        told["last_ms"] = e.at;
+        Json& summary = events[e.event];
+        if (summary.is_null()) summary = {{"count", 0}};
+        summary["count"] = summary["count"].get<std::size_t>() + 1;
+        summary["last_ms"] = e.at;
     }
     std::vector<double> bytes = r.cluster_bytes_per_s;
     std::sort(bytes.begin(), bytes.end());
@@ -107,10 +108,11 @@
 
 struct Line {
     std::string name, color;
-    std::vector<double> values;  // one a second
+    std::vector<double> values;  // one per second
 };
 
-// Lines over time with the faults' bands behind them; the scale is linear and starts at 0.
+// Returns an SVG plot of time series, with the periods of the faults shaded in the background. The value axis
+// is linear and starts at 0.
 std::string plot(const std::string& title, const std::vector<Line>& lines,
                  const std::vector<Report::Band>& bands, double seconds) {
     double top = 0;
@@ -140,7 +142,7 @@
         svg << "<text x=\"" << x(seconds * i / 10) << "\" y=\"" << kHeight - 10
             << "\" text-anchor=\"middle\">" << figure(seconds * i / 10) << (i == 10 ? " s" : "")
             << "</text>\n";
-    for (const Line& line : lines) {  // whole seconds only
+    for (const Line& line : lines) {  // a last, incomplete second is not drawn
         svg << "<polyline fill=\"none\" stroke=\"" << line.color << "\" stroke-width=\"1.6\" points=\"";
         for (std::size_t i = 0; i < line.values.size() && static_cast<double>(i) + 1 <= seconds; ++i)
             svg << x(static_cast<double>(i) + 0.5) << ',' << y(line.values[i]) << ' ';
--- a/src/lab/report.hpp
+++ b/src/lab/report.hpp
@@ -1,4 +1,5 @@
-// The written forms of an experiment's report: JSON for programs, and one HTML page with SVG plots.
+/// @file
+/// Output formats of an experiment's report: JSON for programs, and one HTML page with SVG plots.
 #pragma once
 
 #include <filesystem>
@@ -9,11 +10,12 @@
 
 namespace mothring::lab {
 
-// Times in milliseconds, shares from 0 to 1, series with one entry a second.
+/// Returns the report as JSON. Times are in milliseconds, shares range from 0 to 1, and time series have one
+/// entry per second.
 nlohmann::ordered_json to_json(const Report& report);
-// One page, nothing loaded from elsewhere.
+/// Returns the report as a self-contained HTML page that loads no other resource.
 std::string to_html(const Report& report);
-// Writes FOLDER/report.json and FOLDER/report.html; throws std::runtime_error where it can't.
+/// Writes report.json and report.html into `folder`. Throws std::runtime_error if a file can't be written.
 void write(const Report& report, const std::filesystem::path& folder);
 
 }  // namespace mothring::lab
--- a/src/lab/stats.hpp
+++ b/src/lab/stats.hpp
@@ -1,5 +1,6 @@
-// What the lab counts. Plain values that merge by adding; each is owned by one thread and read after it
-// stopped, or copied on that thread.
+/// @file
+/// Statistics of the lab. Histogram, Tally and ClientTally are plain values that are merged by addition. Each
+/// is owned by one thread; other threads read it after that thread has stopped, or read a copy made on it.
 #pragma once
 
 #include <algorithm>
@@ -16,13 +17,13 @@
 
 namespace mothring::lab {
 
-// Latencies in microseconds in log-linear buckets, in the manner of HdrHistogram: exact below 64 us, then 32
-// buckets an octave, so a value read is at most 1/32 above the value recorded.
+/// Records latencies in microseconds in log-linear buckets, as HdrHistogram does. Values below 64 us are
+/// exact. Above, each octave has 32 buckets, so a reported value exceeds the recorded value by at most 1/32.
 class Histogram {
 public:
     void record(double us) {
         const auto value = static_cast<std::uint64_t>(std::max(0.0, us));
-        const std::size_t at = place(value);
+        const std::size_t at = bucket_of(value);
         if (at >= counts_.size()) counts_.resize(at + 1);
         ++counts_[at];
         ++count_;
@@ -36,23 +37,25 @@
     }
     std::uint64_t count() const { return count_; }
     std::uint64_t max() const { return max_; }
-    // The value that `share` (0 to 1) of those recorded do not exceed, in microseconds; 0 where none is.
+    /// Returns the latency in microseconds that a share (0 to 1) of the recorded values does not exceed, or 0
+    /// if no value is recorded.
     std::uint64_t percentile(double share) const {
         const auto rank = static_cast<std::uint64_t>(share * static_cast<double>(count_) + 0.999999);
         std::uint64_t seen = 0;
         for (std::size_t i = 0; i < counts_.size(); ++i)
-            if ((seen += counts_[i]) >= std::max<std::uint64_t>(rank, 1)) return std::min(upper(i), max_);
+            if ((seen += counts_[i]) >= std::max<std::uint64_t>(rank, 1))
+                return std::min(largest_in(i), max_);
         return max_;
     }
 
 private:
-    static std::size_t place(std::uint64_t value) {
+    static std::size_t bucket_of(std::uint64_t value) {
         const int bits = static_cast<int>(std::bit_width(value));
         if (bits <= 6) return value;
         const int shift = bits - 6;
         return static_cast<std::size_t>(shift) * 32 + (value >> shift);
     }
-    static std::uint64_t upper(std::size_t at) {
+    static std::uint64_t largest_in(std::size_t at) {
         if (at < 64) return at;
         const std::size_t shift = at / 32 - 1;
         return ((at - shift * 32 + 1) << shift) - 1;
@@ -61,9 +64,10 @@
     std::uint64_t count_ = 0, max_ = 0;
 };
 
-// How a request ended, seen from its client. `lost`: its connection ended without a whole answer; `wrong`:
-// a 200 that is no scan server's answer to it, or more than one answer; both break a rule unless the
-// sidecar was killed meanwhile.
+/// Outcome of a request as its client observed it. `lost` means that the connection ended without a complete
+/// response. `wrong` means that the client received a 200 that is not a scan server's response to this
+/// request, or more than one response. Both violate the platform's requirements unless the sidecar was killed
+/// meanwhile.
 enum class End { served, refused, failed, timed_out, lost, unreachable, wrong };
 inline constexpr std::size_t kEnds = 7;
 inline constexpr std::array<const char*, kEnds> kEndNames{"served", "refused",     "failed", "timed_out",
@@ -71,8 +75,9 @@
 
 struct Tally {
     std::array<std::uint64_t, kEnds> ends{};
-    std::uint64_t on_time = 0, crossed = 0;  // of those served: within the aim; from another zone
-    Histogram latency;                       // of those served
+    /// Requests served within the latency objective, and requests served from another zone.
+    std::uint64_t on_time = 0, crossed = 0;
+    Histogram latency;  ///< latencies of the served requests
 
     std::uint64_t& operator[](End end) { return ends[static_cast<std::size_t>(end)]; }
     std::uint64_t operator[](End end) const { return ends[static_cast<std::size_t>(end)]; }
@@ -89,21 +94,22 @@
     }
 };
 
-// Of one sidecar's clients: by the second in which the request was sent, and together.
+/// Outcomes of the requests of one sidecar's clients, in total and by the second in which they were sent.
 struct ClientTally {
     Tally all;
     std::vector<Tally> seconds;
 };
 
-// Every request that reached a scan server, by its id: what the rule on duplicates is checked against
-// (PROTOCOL, "Sidecars to scan servers"). Shared by the servers' threads.
+/// Counts the attempts that reached a scan server, by request id. The lab uses it to check the platform's
+/// requirement that a request with the effect `once` is not sent again after an attempt that may have run.
+/// The servers' threads share one instance.
 class Ledger {
 public:
-    // `may_have_run`: false where the server turned it away with Not-Started.
+    /// Records an attempt. `may_have_run` is false if the server rejected the attempt with Not-Started.
     void arrived(const std::string& id, Idempotency effect, bool may_have_run) {
         const std::lock_guard lock(mutex_);
         Entry& entry = requests_[id];
-        // The attempt that breaks the rule is one that comes after an attempt that may have run.
+        // An attempt is a violation only if an earlier attempt of the same request may have run.
         if (effect == Idempotency::never && entry.run > 0) ++once_repeated_;
         ++entry.attempts;
         entry.run += may_have_run;
@@ -117,7 +123,7 @@
         const std::lock_guard lock(mutex_);
         return once_repeated_;
     }
-    // Requests by how many attempts of theirs arrived.
+    /// Returns the number of requests for each number of attempts that arrived.
     std::map<unsigned, std::uint64_t> by_attempts() const {
         const std::lock_guard lock(mutex_);
         std::map<unsigned, std::uint64_t> counts;
