--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -13,7 +13,7 @@
 using config::ConfigError;
 using config::TomlTable;
 
-constexpr double kLongest = 3600;  // s: every experiment ends by itself
+constexpr double kMaxDurationSeconds = 3600;  // limit in seconds, so that every experiment ends
 constexpr std::size_t kMostSidecars = 1024, kMostServers = 1024;
 constexpr double kMostLatency = 60000;
 
@@ -74,7 +74,7 @@
         std::ostringstream text;
         text << options->raw();
         s.sidecar_toml = text.str();
-        try {  // what a sidecar would refuse is refused before anything starts
+        try {  // rejects options that the sidecars would reject, before any process is started
             config::read_options(s.sidecar_toml, "sidecars.options");
         } catch (const ConfigError& error) {
             table.fail("options", std::string("is refused: ") + error.what());
@@ -124,7 +124,7 @@
     const auto at = table.number("at_s", 0.0, s.duration / 1000);
     if (!at) table.fail("at_s", "is missing");
     f.at = *at * 1000;
-    if (const auto length = table.number("for_s", 0.0, kLongest)) f.length = *length * 1000;
+    if (const auto length = table.number("for_s", 0.0, kMaxDurationSeconds)) f.length = *length * 1000;
     switch (f.kind) {
         case FaultKind::partition:
         case FaultKind::delay:
@@ -144,7 +144,7 @@
         case FaultKind::kill:
         case FaultKind::drain:
             f.from = read_nodes(s, table, "targets", "n");
-            if (const auto after = table.number("restart_after_s", 0.0, kLongest))
+            if (const auto after = table.number("restart_after_s", 0.0, kMaxDurationSeconds))
                 f.restart_after = *after * 1000;
             break;
         case FaultKind::stop:
@@ -214,7 +214,8 @@
     Scenario s;
     s.name = root.text("name").value_or(source.stem().string());
     root.integer_into(s.seed, "seed");
-    if (const auto seconds = root.number("duration_s", 0.1, kLongest)) s.duration = *seconds * 1000;
+    if (const auto seconds = root.number("duration_s", 0.1, kMaxDurationSeconds))
+        s.duration = *seconds * 1000;
     if (const auto zones = root.texts("zones")) {
         if (zones->empty()) root.fail("zones", "expects at least one zone");
         s.zones = *zones;
--- a/src/lab/sidecar_config.cpp
+++ b/src/lab/sidecar_config.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr std::size_t kSeeds = 3;  // members each sidecar is given to join by
+constexpr std::size_t kMaxSeeds = 3;  // number of members in a sidecar's seed list
 
-// Another for each experiment: where two run at once, one's datagrams to a port that a dead sidecar had may
-// reach a sidecar of the other.
+// Generates a key for one experiment. If two experiments run concurrently, a datagram sent to the former port
+// of a dead sidecar may reach a sidecar of the other experiment, which must reject it.
 std::string new_key() {
     std::random_device random;
     std::ostringstream key;
@@ -103,14 +103,16 @@
 
 std::string SidecarConfig::options(std::size_t i, const SidecarAddresses& addresses) {
     std::string toml = scenario_.sidecar_toml + "\n";
-    // A key of [sidecar] that the scenario gives for all stays; the skew is of some.
+    // If the scenario sets options in [sidecar], they apply to all sidecars and no clock skew is added.
+    // Otherwise the first `skewed` sidecars get the clock skew.
     if (i < scenario_.skewed && toml.find("[sidecar]") == std::string::npos)
         toml += "[sidecar]\nclock_skew_ms = " + std::to_string(scenario_.clock_skew) + "\n";
     if (scenario_.cluster_period) toml += cluster_options(i, addresses);
     return toml;
 }
 
-// Each member reaches the others through the relay, so wherever they say they are.
+// Lists every other member with its relay address, so that messages to it pass through the relay whatever
+// address the member advertises.
 std::string SidecarConfig::cluster_options(std::size_t i, const SidecarAddresses& addresses) {
     const std::string name = scenario_.sidecar_name(i);
     std::ostringstream seeds, peers;
@@ -119,7 +121,7 @@
         if (n == i) continue;
         const std::string other = scenario_.sidecar_name(n);
         const Tcp::endpoint link = peer_link(name, other);
-        if (seeded < kSeeds) seeds << (seeded++ ? ", \"" : "\"") << link << '"';
+        if (seeded < kMaxSeeds) seeds << (seeded++ ? ", \"" : "\"") << link << '"';
         peers << "[[cluster.peers]]\nname = \"" << other << "\"\nudp = \"" << relay_.udp_link(name, other)
               << "\"\ntcp = \"" << link << "\"\n";
     }
@@ -131,7 +133,7 @@
     return toml.str();
 }
 
-// The same link in every life of the sidecar.
+// Returns the relay's link between two sidecars, which stays the same across their restarts.
 Tcp::endpoint SidecarConfig::peer_link(const std::string& from, const std::string& to) {
     Tcp::endpoint& link = peer_links_[{from, to}];
     if (link.port() == 0) link = relay_.peer_link(from, to);
--- a/src/lab/sidecar_config.hpp
+++ b/src/lab/sidecar_config.hpp
@@ -1,5 +1,5 @@
-// The files a sidecar of the lab is started with: the platform's settings (LB_CONFIG) and the options (TOML).
-// All that it reaches, it reaches through the relay.
+/// @file
+/// Generated configuration of the lab's sidecars.
 #pragma once
 
 #include <filesystem>
@@ -14,23 +14,27 @@
 
 namespace mothring::lab {
 
-// Where a sidecar listens, and reaches discovery. Port 0 until the system chose one.
+/// Addresses on which a sidecar listens, and the address at which it calls discovery. A port is 0 until the
+/// operating system has chosen one.
 struct SidecarAddresses {
     Tcp::endpoint listen{any_tcp_port}, operators{any_tcp_port};
-    Udp::endpoint peers{any_udp_port};  // the cluster's address where that is on
+    Udp::endpoint peers{any_udp_port};  ///< the membership's address if it is enabled
     Tcp::endpoint discovery;
 };
 
+/// Writes the files with which a sidecar is started: the platform's settings (LB_CONFIG) and the options
+/// (TOML). All addresses that the sidecar connects to lead through the relay.
 class SidecarConfig {
 public:
-    // Both must outlive it.
+    /// `scenario` and `relay` must outlive this object.
     SidecarConfig(const Scenario& scenario, Relay& relay);
 
-    // Writes config.json and sidecar.toml for sidecar `i` into `folder`. `starts`: how often it was started
-    // before, as each life has a seed of its own; `known`: the servers' list to begin with.
+    /// Writes config.json and sidecar.toml for sidecar `i` into `folder`. `starts` is the number of earlier
+    /// starts of the sidecar, because each process instance has its own seed. `known` is the initial server
+    /// list.
     void write(std::size_t i, unsigned starts, const SidecarAddresses& addresses, const nlohmann::json& known,
                const std::filesystem::path& folder);
-    // The membership's shared key, another for each experiment.
+    /// Returns the membership's shared key, which is generated for each experiment.
     const std::string& cluster_key() const { return cluster_key_; }
 
 private:
