--- a/src/lab/event_log.cpp
+++ b/src/lab/event_log.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t kHistory = 200'000;  // events kept for the report
+constexpr std::size_t kMaxHistoryEvents = 200'000;  // limit of the events kept for the report
 
-bool is_of_membership(const std::string& event) {
+bool is_membership_event(const std::string& event) {
     return event.starts_with("member.") || event.starts_with("cluster.");
 }
 
@@ -22,7 +22,7 @@
     Seen& seen = seen_[{sidecar, name}];
     ++seen.count;
     seen.last = event;
-    if (is_of_membership(name) && history_.size() < kHistory)
+    if (is_membership_event(name) && history_.size() < kMaxHistoryEvents)
         history_.push_back({at, sidecar, name, event.value("member", "")});
 }
 
@@ -64,10 +64,10 @@
 Report::Detection EventLog::detection(const std::string& member, Millis killed_at,
                                       std::size_t observers) const {
     Report::Detection found{member, killed_at, observers, {}};
-    std::set<std::string> told;
+    std::set<std::string> reporters;
     for (const Report::Event& event : history_)
         if (event.at >= killed_at && event.event == "member.dead" && event.member == member &&
-            told.insert(event.sidecar).second)
+            reporters.insert(event.sidecar).second)
             found.after.push_back(event.at - killed_at);
     std::sort(found.after.begin(), found.after.end());
     return found;
--- a/src/lab/event_log.hpp
+++ b/src/lab/event_log.hpp
@@ -1,4 +1,5 @@
-// What the sidecars logged: the count and the last of each event, and the history of the membership's.
+/// @file
+/// Log events of the sidecars.
 #pragma once
 
 #include <cstddef>
@@ -13,21 +14,24 @@
 
 namespace mothring::lab {
 
+/// Collects the events that the sidecars log. Keeps the count and the last occurrence of each event, and a
+/// history of the membership's events for the report.
 class EventLog {
 public:
-    // `at`: ms since the play began.
+    /// Records an event that was logged `at` milliseconds after the start of the scenario.
     void record(Millis at, const std::string& sidecar, const nlohmann::json& event);
-    // Forgets the history, as a play begins; the counts go on.
+    /// Clears the history at the start of a scenario. The counts are kept.
     void clear_history() { history_.clear(); }
-    // How many events of that name the sidecar has written, over all its lives.
+    /// Returns how often the sidecar has logged the event, over all its process instances.
     std::size_t count(const std::string& sidecar, const std::string& name) const;
-    // How many of these there are about a member in the history.
+    /// Returns how often the history holds the sidecar's event about this member.
     std::size_t count(const std::string& sidecar, const std::string& name, const std::string& member) const;
-    // The last such event, null where there is none.
+    /// Returns the sidecar's last event of this name, or null if there is none.
     nlohmann::json last(const std::string& sidecar, const std::string& name) const;
-    // The membership's events since the play began, the first 200,000.
+    /// Returns the first 200,000 membership events since the start of the scenario.
     const std::vector<Report::Event>& history() const { return history_; }
-    // For each sidecar that the scenario kills, when the others declared it dead. Empty without a membership.
+    /// Returns, for each sidecar that the scenario kills, after which time the other sidecars declared it
+    /// dead. The result is empty if the scenario runs without the membership.
     std::vector<Report::Detection> detections(const Scenario& scenario) const;
 
 private:
@@ -38,7 +42,7 @@
     const Seen* find(const std::string& sidecar, const std::string& name) const;
     Report::Detection detection(const std::string& member, Millis killed_at, std::size_t observers) const;
 
-    std::map<std::pair<std::string, std::string>, Seen> seen_;  // by sidecar and event
+    std::map<std::pair<std::string, std::string>, Seen> seen_;  ///< by sidecar and event name
     std::vector<Report::Event> history_;
 };
 
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,6 +1,8 @@
-// mothring_lab SCENARIO.toml --out DIR: plays a scenario against a fleet of sidecar processes and writes
-// DIR/report.json and DIR/report.html. Exit 0; 1 where it could not be played; 2 for a scenario or command
-// line that is wrong, with nothing started; 130 after Ctrl-C, with the report of what was played.
+/// @file
+/// mothring_lab SCENARIO.toml --out DIR runs a scenario against a fleet of sidecar processes and writes
+/// DIR/report.json and DIR/report.html. Exit codes: 0 on success; 1 if the scenario could not be run; 2 if
+/// the scenario or the command line is invalid, in which case nothing is started; 130 after Ctrl-C, with a
+/// report of the part that was run.
 #include <signal.h>
 #include <unistd.h>
 
@@ -17,7 +19,7 @@
 
 namespace lab = mothring::lab;
 
-volatile std::sig_atomic_t told_to_end = 0;
+volatile std::sig_atomic_t stop_requested = 0;
 
 void progress_line(const lab::Scenario& scenario, lab::Lab& experiment, double played) {
     lab::Tally sum;
@@ -37,7 +39,7 @@
         return 2;
     }
     struct sigaction act {};
-    act.sa_handler = [](int) { told_to_end = 1; };
+    act.sa_handler = [](int) { stop_requested = 1; };
     ::sigaction(SIGINT, &act, nullptr);
     ::sigaction(SIGTERM, &act, nullptr);
     ::signal(SIGPIPE, SIG_IGN);
@@ -48,7 +50,7 @@
         double shown = 0;
         experiment.play([&](double played) {
             if (terminal && played - shown > 500) progress_line(scenario, experiment, shown = played);
-            return told_to_end == 0;
+            return stop_requested == 0;
         });
         if (terminal) std::fputc('\n', stderr);
         const lab::Report report = experiment.report();
@@ -64,11 +66,11 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app("mothring lab: plays a scenario against a fleet of sidecars");
+    CLI::App app("mothring lab: runs a scenario against a fleet of sidecar processes");
     std::filesystem::path scenario, out, program;
     app.add_option("SCENARIO", scenario, "The scenario, a TOML file (docs/lab.md)")->required();
     app.add_option("--out", out, "Folder for the report, the sidecars' configurations and logs")->required();
-    app.add_option("--program", program, "The sidecar to start (the mothring beside this program)");
+    app.add_option("--program", program, "Sidecar executable (default: mothring in this program's folder)");
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
--- a/src/lab/metrics_client.cpp
+++ b/src/lab/metrics_client.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Millis kLimit = 2000;  // for the whole exchange
+constexpr Millis kExchangeTimeout = 2000;  // from the connection to the end of the response
 
 Task exchange(const Tcp::endpoint& address, boost::beast::tcp_stream& stream, Json& metrics) {
     const http::request<http::empty_body> request{http::verb::get, "/metrics", 11};
@@ -31,7 +31,7 @@
     asio::io_context io;
     boost::beast::tcp_stream stream(io);
     Json metrics;
-    stream.expires_after(to_duration(kLimit));
+    stream.expires_after(to_duration(kExchangeTimeout));
     asio::co_spawn(io, exchange(address, stream, metrics), asio::detached);
     io.run();
     return metrics;
--- a/src/lab/metrics_client.hpp
+++ b/src/lab/metrics_client.hpp
@@ -1,4 +1,5 @@
-// Asks a sidecar for its figures, as an operator would.
+/// @file
+/// Client of the sidecars' /metrics endpoint.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,7 +8,8 @@
 
 namespace mothring::lab {
 
-// GET /metrics at `address`: the body of a 200, or null where there is none within 2 s.
+/// Sends GET /metrics to `address`, as an operator does. Returns the body of a 200 response, or null if none
+/// is received within 2 s.
 nlohmann::json fetch_metrics(const Tcp::endpoint& address);
 
 }  // namespace mothring::lab
